--- a/bin/choice_sim.c
+++ b/bin/choice_sim.c
@@ -11,7 +11,7 @@
 
 #include "base/rng.h"
 #include "base/xmalloc.h"
-#include "gateway/choice.h"
+#include "gateway/policy/choice.h"
 
 enum {
     REGIONS = 3,
--- a/gateway/admin.h
+++ b/gateway/admin.h
@@ -1,8 +1,8 @@
 /* The admin pages of an instance: metrics, table, status, explanation. */
 #pragma once
 
-#include "gateway/exchange.h"
-#include "gateway/heartbeat.h"
+#include "gateway/path/exchange.h"
+#include "gateway/membership/heartbeat.h"
 #include "wire/listener.h"
 
 typedef struct {
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -7,11 +7,11 @@
 #include "base/log.h"
 #include "base/xmalloc.h"
 #include "gateway/admin.h"
-#include "gateway/directory.h"
-#include "gateway/discovery.h"
-#include "gateway/exchange.h"
+#include "gateway/membership/directory.h"
+#include "gateway/membership/discovery.h"
+#include "gateway/path/exchange.h"
 #include "gateway/gateway.h"
-#include "gateway/heartbeat.h"
+#include "gateway/membership/heartbeat.h"
 
 enum {
     TICK_MS = 200,
--- a/gateway/inspect.h
+++ b/gateway/inspect.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "gateway/router.h"
-#include "gateway/sync.h"
+#include "gateway/state/sync.h"
 #include "wire/head.h"
 
 /* Rows of all services, or of one if `service` is not empty. */
--- a/gateway/directory.c
+++ b/gateway/membership/directory.c
@@ -1,4 +1,4 @@
-#include "gateway/directory.h"
+#include "gateway/membership/directory.h"
 
 static bool
 may_name(const member_t *member, uint64_t now_ms)
--- a/gateway/directory.h
+++ b/gateway/membership/directory.h
@@ -1,7 +1,7 @@
 /* Which instances a caller is told to use. Pure. */
 #pragma once
 
-#include "gateway/members.h"
+#include "gateway/membership/members.h"
 
 enum { DIRECTORY_MAX = 64 };
 
--- a/gateway/discovery.c
+++ b/gateway/membership/discovery.c
@@ -1,6 +1,6 @@
 #define LOG_MODULE "discovery"
 #include "base/log.h"
-#include "gateway/discovery.h"
+#include "gateway/membership/discovery.h"
 
 enum {
     ANNOUNCE_RETRY_MS = 2000,
--- a/gateway/discovery.h
+++ b/gateway/membership/discovery.h
@@ -4,7 +4,7 @@
  */
 #pragma once
 
-#include "gateway/heartbeat.h"
+#include "gateway/membership/heartbeat.h"
 
 typedef struct {
     uv_loop_t *loop;
--- a/gateway/heartbeat.c
+++ b/gateway/membership/heartbeat.c
@@ -3,7 +3,7 @@
 #define LOG_MODULE "members"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "gateway/heartbeat.h"
+#include "gateway/membership/heartbeat.h"
 
 enum {
     PEERS_EVERY = 8, /* rounds between two lists of known addresses */
--- a/gateway/heartbeat.h
+++ b/gateway/membership/heartbeat.h
@@ -3,7 +3,7 @@
 
 #include "gateway/router.h"
 #include "gateway/settings.h"
-#include "gateway/sync.h"
+#include "gateway/state/sync.h"
 
 typedef struct {
     const gateway_settings_t *settings;
--- a/gateway/members.c
+++ b/gateway/membership/members.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 #include "base/xmalloc.h"
-#include "gateway/members.h"
+#include "gateway/membership/members.h"
 
 enum {
     KEY_SEED = 51,
--- a/gateway/members.h
+++ b/gateway/membership/members.h
@@ -12,9 +12,9 @@
 #pragma once
 
 #include "base/addr.h"
-#include "gateway/cold.h"
+#include "gateway/policy/cold.h"
 #include "gateway/ports.h"
-#include "gateway/topology.h"
+#include "gateway/membership/topology.h"
 
 enum {
     MEMBERS_MAX = 2048,
--- a/gateway/topology.c
+++ b/gateway/membership/topology.c
@@ -1,4 +1,4 @@
-#include "gateway/topology.h"
+#include "gateway/membership/topology.h"
 
 size_t
 topology_region(const topology_t *topology, str_t region)
--- a/gateway/attempt.c
+++ b/gateway/path/attempt.c
@@ -5,7 +5,7 @@
 #define LOG_MODULE "attempt"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "gateway/attempt.h"
+#include "gateway/path/attempt.h"
 
 enum {
     CONNECT_TIMEOUT_MS = 400,
--- a/gateway/attempt.h
+++ b/gateway/path/attempt.h
@@ -7,7 +7,7 @@
  */
 #pragma once
 
-#include "gateway/backends.h"
+#include "gateway/state/backends.h"
 #include "wire/listener.h"
 
 typedef enum {
--- a/gateway/exchange.c
+++ b/gateway/path/exchange.c
@@ -8,8 +8,8 @@
 #include "base/counter.h"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "gateway/attempt.h"
-#include "gateway/exchange.h"
+#include "gateway/path/attempt.h"
+#include "gateway/path/exchange.h"
 
 enum {
     UNSENT_TRIES = 4,       /* upstreams tried without having sent anything */
--- a/gateway/choice.c
+++ b/gateway/policy/choice.c
@@ -1,6 +1,6 @@
 #include <math.h>
 
-#include "gateway/choice.h"
+#include "gateway/policy/choice.h"
 
 /* Room kept free for urgent requests, as a share of an upstream's slots. */
 #define RESERVED_SHARE 0.1
--- a/gateway/choice.h
+++ b/gateway/policy/choice.h
@@ -11,9 +11,9 @@
  */
 #pragma once
 
-#include "gateway/backends.h"
-#include "gateway/cold.h"
-#include "gateway/plan.h"
+#include "gateway/state/backends.h"
+#include "gateway/policy/cold.h"
+#include "gateway/policy/plan.h"
 
 enum { CHOICE_TRIED_MAX = 6 };
 
--- a/gateway/cold.c
+++ b/gateway/policy/cold.c
@@ -1,4 +1,4 @@
-#include "gateway/cold.h"
+#include "gateway/policy/cold.h"
 
 /* Below the bound, for requests that were sent in one second and arrive in the next. */
 #define COLD_RATE_SHARE 0.8
--- a/gateway/cold.h
+++ b/gateway/policy/cold.h
@@ -9,7 +9,7 @@
  */
 #pragma once
 
-#include "gateway/backends.h"
+#include "gateway/state/backends.h"
 
 enum { COLD_USERS = 2 };
 
--- a/gateway/health.c
+++ b/gateway/policy/health.c
@@ -1,6 +1,6 @@
 #include <math.h>
 
-#include "gateway/health.h"
+#include "gateway/policy/health.h"
 
 /* Some failures in a row, or well over half of the attempts over a while, make an upstream
  * impaired; it stays so until little of that is left, since moving its objects to and fro costs
--- a/gateway/plan.c
+++ b/gateway/policy/plan.c
@@ -1,7 +1,7 @@
 #include <math.h>
 #include <string.h>
 
-#include "gateway/plan.h"
+#include "gateway/policy/plan.h"
 
 /* Use of the own region's slots, at the highest demand lately seen, above which requests go
  * elsewhere. */
--- a/gateway/plan.h
+++ b/gateway/policy/plan.h
@@ -8,7 +8,7 @@
  */
 #pragma once
 
-#include "gateway/topology.h"
+#include "gateway/membership/topology.h"
 
 typedef struct {
     double room[TOPOLOGY_REGIONS_MAX];   /* slots of usable upstreams */
--- a/gateway/retry_budget.c
+++ b/gateway/policy/retry_budget.c
@@ -1,4 +1,4 @@
-#include "gateway/retry_budget.h"
+#include "gateway/policy/retry_budget.h"
 
 /* Below the bound, because other instances' windows are not aligned with ours. */
 #define RETRY_SHARE 0.75
--- a/gateway/ports.h
+++ b/gateway/ports.h
@@ -6,7 +6,7 @@
 
 #include "base/addr.h"
 #include "base/error.h"
-#include "gateway/config.h"
+#include "gateway/state/config.h"
 #include "wire/head.h"
 
 /* ---- the store ---- */
--- a/gateway/router.h
+++ b/gateway/router.h
@@ -5,12 +5,12 @@
 #pragma once
 
 #include "base/rng.h"
-#include "gateway/backends.h"
-#include "gateway/choice.h"
-#include "gateway/members.h"
-#include "gateway/plan.h"
-#include "gateway/retry_budget.h"
-#include "gateway/views.h"
+#include "gateway/state/backends.h"
+#include "gateway/policy/choice.h"
+#include "gateway/membership/members.h"
+#include "gateway/policy/plan.h"
+#include "gateway/policy/retry_budget.h"
+#include "gateway/state/views.h"
 
 typedef struct {
     double retry_ratio;
--- a/gateway/settings.h
+++ b/gateway/settings.h
@@ -3,7 +3,7 @@
 
 #include "base/addr.h"
 #include "base/error.h"
-#include "gateway/topology.h"
+#include "gateway/membership/topology.h"
 
 enum { SETTINGS_SEEDS = 8 };
 
--- a/gateway/backends.c
+++ b/gateway/state/backends.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "base/xmalloc.h"
-#include "gateway/backends.h"
+#include "gateway/state/backends.h"
 
 enum {
     KEY_SEED = 41,
--- a/gateway/backends.h
+++ b/gateway/state/backends.h
@@ -7,9 +7,9 @@
 #pragma once
 
 #include "base/bucket.h"
-#include "gateway/health.h"
+#include "gateway/policy/health.h"
 #include "gateway/ports.h"
-#include "gateway/topology.h"
+#include "gateway/membership/topology.h"
 #include "wire/client.h"
 
 typedef struct {
--- a/gateway/config.c
+++ b/gateway/state/config.c
@@ -3,7 +3,7 @@
 #include <strings.h>
 
 #include "base/xmalloc.h"
-#include "gateway/config.h"
+#include "gateway/state/config.h"
 
 enum { HOST_SEED = 11, PREFIX_SEED = 12, HOST_MAX = 255 };
 
--- a/gateway/relay.c
+++ b/gateway/state/relay.c
@@ -1,7 +1,7 @@
 #include <stdlib.h>
 
 #include "base/xmalloc.h"
-#include "gateway/relay.h"
+#include "gateway/state/relay.h"
 
 enum {
     REQUEST_EVERY_MS = 600,
--- a/gateway/relay.h
+++ b/gateway/state/relay.h
@@ -1,7 +1,7 @@
 /* What instances tell each other of their views; part of sync.h. */
 #pragma once
 
-#include "gateway/sync.h"
+#include "gateway/state/sync.h"
 
 /* Sends changes of a view to the instances that are to have them at once. */
 void relay_changes(sync_t *sync, view_kind_t kind, const store_item_t *items, size_t count,
--- a/gateway/sync.c
+++ b/gateway/state/sync.c
@@ -4,7 +4,7 @@
 #define LOG_MODULE "sync"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "gateway/relay.h"
+#include "gateway/state/relay.h"
 
 enum {
     WATCH_WAIT_MS = 3000,
--- a/gateway/sync.h
+++ b/gateway/state/sync.h
@@ -10,8 +10,8 @@
  */
 #pragma once
 
-#include "gateway/members.h"
-#include "gateway/views.h"
+#include "gateway/membership/members.h"
+#include "gateway/state/views.h"
 #include "peer/link.h"
 
 typedef struct {
--- a/gateway/views.c
+++ b/gateway/state/views.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 #include "base/xmalloc.h"
-#include "gateway/views.h"
+#include "gateway/state/views.h"
 
 enum { DIGEST_SEED = 31, ITEMS_START = 16 };
 
--- a/test/test_gateway.c
+++ b/test/test_gateway.c
@@ -6,13 +6,13 @@
 
 #include "base/log_ring.h"
 #include "base/xmalloc.h"
-#include "gateway/choice.h"
-#include "gateway/directory.h"
-#include "gateway/members.h"
-#include "gateway/plan.h"
-#include "gateway/retry_budget.h"
+#include "gateway/policy/choice.h"
+#include "gateway/membership/directory.h"
+#include "gateway/membership/members.h"
+#include "gateway/policy/plan.h"
+#include "gateway/policy/retry_budget.h"
 #include "gateway/router.h"
-#include "gateway/views.h"
+#include "gateway/state/views.h"
 #include "test/suites.h"
 
 static topology_t
