--- a/bin/bare.c
+++ b/bin/bare.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "http/server.h"
+#include "entry/http/server.h"
 
 enum { HEAD_TIMEOUT_MS = 10000, CONNECTIONS_MAX = 4096 };
 
--- a/bin/fake_backend.c
+++ b/bin/fake_backend.c
@@ -21,7 +21,7 @@
 #include "base/rng.h"
 #include "base/xmalloc.h"
 #include "bin/pattern.h"
-#include "http/server.h"
+#include "entry/http/server.h"
 
 enum {
     HEAD_TIMEOUT_MS = 30000,
--- a/bin/fake_platform.c
+++ b/bin/fake_platform.c
@@ -21,7 +21,7 @@
 #include "base/log.h"
 #include "base/rng.h"
 #include "base/xmalloc.h"
-#include "http/server.h"
+#include "entry/http/server.h"
 
 enum {
     VALUE_MAX = 1 << 20,
--- a/bin/slopes.c
+++ b/bin/slopes.c
@@ -15,13 +15,13 @@
 
 #include "base/rng.h"
 #include "base/xmalloc.h"
-#include "lookup/blocks.h"
-#include "lookup/plan.h"
-#include "lookup/steer.h"
+#include "entry/lookup/blocks.h"
+#include "entry/lookup/plan.h"
+#include "entry/lookup/steer.h"
 #include "peer/peer.pb-c.h"
-#include "region/credit.h"
-#include "request/key.h"
-#include "table/ramp.h"
+#include "entry/region/credit.h"
+#include "entry/request/key.h"
+#include "entry/table/ramp.h"
 
 enum {
     CHUNK = 65536,
--- a/ctl/commit.h
+++ b/ctl/commit.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "ctl/session.h"
-#include "table/edit.h"
+#include "entry/table/edit.h"
 
 typedef enum {
     COMMIT_APPLIED,
--- a/ctl/session.c
+++ b/ctl/session.c
@@ -2,7 +2,7 @@
 
 #include "base/xmalloc.h"
 #include "ctl/session.h"
-#include "http/fetch.h"
+#include "entry/http/fetch.h"
 
 enum { CALL_TIMEOUT_MS = 3000, CONNECTIONS = 2, IDLE_MS = 1000, BODY_MAX = 8 << 20 };
 
--- a/ctl/session.h
+++ b/ctl/session.h
@@ -8,8 +8,8 @@
 #include "base/error.h"
 #include "base/history.h"
 #include "base/rng.h"
-#include "fleet/instance.h"
-#include "native/client.h"
+#include "entry/fleet/instance.h"
+#include "entry/object_store/client.h"
 
 typedef struct {
     uv_loop_t *loop;
--- a/ctl/table_cmd.c
+++ b/ctl/table_cmd.c
@@ -9,8 +9,8 @@
 #include "base/xmalloc.h"
 #include "ctl/commit.h"
 #include "ctl/table_cmd.h"
-#include "region/gate.h"
-#include "table/ramp.h"
+#include "entry/region/gate.h"
+#include "entry/table/ramp.h"
 
 enum { LINE_MAX_LEN = 512, COLUMNS_IN_FILE = 6 };
 
--- a/entry/admin.c
+++ b/entry/admin.c
@@ -9,7 +9,7 @@
 #include "base/xmalloc.h"
 #include "entry/lookup_answer.h"
 #include "entry/node.h"
-#include "table/ramp.h"
+#include "entry/table/ramp.h"
 
 static json_t *
 describe_row(const service_t *service, size_t row, const double *targets)
--- a/backend/backend.c
+++ b/entry/backend/backend.c
@@ -2,7 +2,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "backend/backend.h"
+#include "entry/backend/backend.h"
 #include "base/mutate.h"
 #include "base/xmalloc.h"
 
--- a/backend/backend.h
+++ b/entry/backend/backend.h
@@ -13,7 +13,7 @@
 #include <stdint.h>
 
 #include "base/rng.h"
-#include "fleet/instance.h"
+#include "entry/fleet/instance.h"
 
 enum {
     BACKEND_LOAD_DECAY_MS = 400, /* half-life-like scale of a reported load */
--- a/fleet/instance.c
+++ b/entry/fleet/instance.c
@@ -4,7 +4,7 @@
 #include <jansson.h>
 
 #include "base/xmalloc.h"
-#include "fleet/instance.h"
+#include "entry/fleet/instance.h"
 
 enum { DEFAULT_SLOTS = 1 };
 
--- a/fleet/loads.c
+++ b/entry/fleet/loads.c
@@ -1,4 +1,4 @@
-#include "fleet/loads.h"
+#include "entry/fleet/loads.h"
 
 #define INTERVAL_GAIN 0.2
 
--- a/fleet/member.c
+++ b/entry/fleet/member.c
@@ -1,7 +1,7 @@
 #include <string.h>
 
 #include "base/xmalloc.h"
-#include "fleet/member.h"
+#include "entry/fleet/member.h"
 
 member_t *
 members_find(const members_t *members, str_t name)
--- a/fleet/member.h
+++ b/entry/fleet/member.h
@@ -12,7 +12,7 @@
 
 #include "base/addr.h"
 #include "base/str.h"
-#include "fleet/instance.h"
+#include "entry/fleet/instance.h"
 
 enum { MEMBER_SILENCE_MS = 3000 };
 
--- a/fleet/objects.c
+++ b/entry/fleet/objects.c
@@ -5,7 +5,7 @@
 #include "base/log.h"
 #include "base/mutate.h"
 #include "base/xmalloc.h"
-#include "fleet/objects.h"
+#include "entry/fleet/objects.h"
 
 struct objects {
     objects_cbs_t cbs;
--- a/entry/headers.h
+++ b/entry/headers.h
@@ -4,8 +4,8 @@
  */
 #pragma once
 
-#include "http/call.h"
-#include "http/server.h"
+#include "entry/http/call.h"
+#include "entry/http/server.h"
 
 /* Copies status and headers of a backend server's answer, and names the answering entry. */
 void headers_copy_answer(h2o_req_t *req, const http_head_t *head, str_t entry);
--- a/http/call.c
+++ b/entry/http/call.c
@@ -4,7 +4,7 @@
 #define LOG_MODULE "call"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "http/call.h"
+#include "entry/http/call.h"
 
 enum { LIBRARY_IO_TIMEOUT_MS = 24 * 3600 * 1000 }; /* calls carry a timer of their own */
 
--- a/http/fetch.c
+++ b/entry/http/fetch.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "base/xmalloc.h"
-#include "http/fetch.h"
+#include "entry/http/fetch.h"
 
 struct fetch {
     http_call_t *call;
--- a/http/fetch.h
+++ b/entry/http/fetch.h
@@ -1,7 +1,7 @@
 /* Small HTTP calls whose whole answer is collected in memory. */
 #pragma once
 
-#include "http/call.h"
+#include "entry/http/call.h"
 
 typedef struct {
     const http_result_t *result;
--- a/http/server.c
+++ b/entry/http/server.c
@@ -9,7 +9,7 @@
 #define LOG_MODULE "http"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "http/server.h"
+#include "entry/http/server.h"
 
 enum { LISTEN_BACKLOG = 1024 };
 
--- a/lookup/blocks.c
+++ b/entry/lookup/blocks.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "base/xmalloc.h"
-#include "lookup/blocks.h"
+#include "entry/lookup/blocks.h"
 #include "peer/peer.pb-c.h"
 
 typedef struct {
--- a/lookup/plan.c
+++ b/entry/lookup/plan.c
@@ -2,7 +2,7 @@
 #include <stdlib.h>
 
 #include "base/xmalloc.h"
-#include "lookup/plan.h"
+#include "entry/lookup/plan.h"
 
 #define DELAY_SCALE_MS 10.0
 #define TINY 1e-12
--- a/lookup/plan.h
+++ b/entry/lookup/plan.h
@@ -11,8 +11,8 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "lookup/topology.h"
-#include "table/table.h"
+#include "entry/lookup/topology.h"
+#include "entry/table/table.h"
 
 typedef struct {
     size_t areas;
--- a/lookup/spill.c
+++ b/entry/lookup/spill.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 #include "base/xmalloc.h"
-#include "lookup/spill.h"
+#include "entry/lookup/spill.h"
 
 #define POINTS 100.0
 
--- a/lookup/steer.c
+++ b/entry/lookup/steer.c
@@ -2,8 +2,8 @@
 #include <string.h>
 
 #include "base/xmalloc.h"
-#include "lookup/steer.h"
-#include "table/ramp.h"
+#include "entry/lookup/steer.h"
+#include "entry/table/ramp.h"
 
 enum { BLOCK_BITS_V4 = 8 }; /* addresses of one /24 stay together */
 
--- a/lookup/steer.h
+++ b/entry/lookup/steer.h
@@ -10,11 +10,11 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "lookup/blocks.h"
-#include "lookup/plan.h"
-#include "lookup/spill.h"
-#include "lookup/topology.h"
-#include "table/table.h"
+#include "entry/lookup/blocks.h"
+#include "entry/lookup/plan.h"
+#include "entry/lookup/spill.h"
+#include "entry/lookup/topology.h"
+#include "entry/table/table.h"
 
 /* Half of a row's cap is for look-ups, half for requests, so that both keep it together. */
 #define STEER_CAP_PART 0.5
--- a/lookup/topology.c
+++ b/entry/lookup/topology.c
@@ -4,7 +4,7 @@
 #include <jansson.h>
 
 #include "base/xmalloc.h"
-#include "lookup/topology.h"
+#include "entry/lookup/topology.h"
 
 #define TOPOLOGY_DEFAULT_DELAY_MS 50.0f
 #define TOPOLOGY_LOCAL_DELAY_MS 1.0f
--- a/entry/lookup_answer.c
+++ b/entry/lookup_answer.c
@@ -6,7 +6,7 @@
 #include "base/log.h"
 #include "base/xmalloc.h"
 #include "entry/lookup_answer.h"
-#include "table/ramp.h"
+#include "entry/table/ramp.h"
 
 enum { SKIP_REFRESH_MS = 200, ENTRIES_REFRESH_MS = 250 };
 
--- a/entry/node.c
+++ b/entry/node.c
@@ -9,7 +9,7 @@
 #include "entry/exchange.h"
 #include "entry/node.h"
 #include "entry/route.h"
-#include "table/ramp.h"
+#include "entry/table/ramp.h"
 
 enum {
     TICK_MS = 100,
--- a/native/client.c
+++ b/entry/object_store/client.c
@@ -6,8 +6,8 @@
 #include "base/counter.h"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "http/fetch.h"
-#include "native/client.h"
+#include "entry/http/fetch.h"
+#include "entry/object_store/client.h"
 
 enum {
     CONNECTIONS = 8,
--- a/native/client.h
+++ b/entry/object_store/client.h
@@ -14,7 +14,7 @@
 #include "base/clock.h"
 #include "base/error.h"
 #include "base/str.h"
-#include "http/call.h"
+#include "entry/http/call.h"
 
 typedef struct platform platform_t;
 
--- a/entry/probe.c
+++ b/entry/probe.c
@@ -12,7 +12,7 @@
 #include "base/log.h"
 #include "base/xmalloc.h"
 #include "entry/node.h"
-#include "http/fetch.h"
+#include "entry/http/fetch.h"
 
 enum {
     PROBE_TIMEOUT_MS = 1000,
--- a/region/credit.c
+++ b/entry/region/credit.c
@@ -5,7 +5,7 @@
 
 #include "base/mutate.h"
 #include "base/xmalloc.h"
-#include "region/credit.h"
+#include "entry/region/credit.h"
 
 /* What is known of another holder of the present epoch. */
 typedef struct {
--- a/region/gate.c
+++ b/entry/region/gate.c
@@ -4,7 +4,7 @@
 
 #include "base/mutate.h"
 #include "base/xmalloc.h"
-#include "region/gate.h"
+#include "entry/region/gate.h"
 
 #define RATE_BURST_S 0.25 /* length of the burst a rate allows, seconds */
 #define LINK_BURST_S 0.1
--- a/region/gate.h
+++ b/entry/region/gate.h
@@ -13,7 +13,7 @@
 #include "base/bucket.h"
 #include "base/error.h"
 #include "base/str.h"
-#include "region/credit.h"
+#include "entry/region/credit.h"
 
 /* A region's own limits, as stored. */
 typedef struct {
--- a/region/plan.c
+++ b/entry/region/plan.c
@@ -3,7 +3,7 @@
 
 #include "base/mutate.h"
 #include "base/xmalloc.h"
-#include "region/plan.h"
+#include "entry/region/plan.h"
 
 /* A former holder that cannot act any more, as far as this instance knows, since then. */
 typedef struct {
--- a/region/plan.h
+++ b/entry/region/plan.h
@@ -7,7 +7,7 @@
  */
 #pragma once
 
-#include "region/credit.h"
+#include "entry/region/credit.h"
 
 typedef struct {
     name_t instance;
--- a/request/budget.c
+++ b/entry/request/budget.c
@@ -1,4 +1,4 @@
-#include "request/budget.h"
+#include "entry/request/budget.h"
 
 #define EXTRA_PER_REQUEST 0.08
 #define TOKENS_MAX 10.0
--- a/request/key.c
+++ b/entry/request/key.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "base/xmalloc.h"
-#include "request/key.h"
+#include "entry/request/key.h"
 
 enum { BUCKETS = 1 << 14, SWEEP_BUCKETS = 1 << 10 };
 
--- a/request/latency.c
+++ b/entry/request/latency.c
@@ -1,4 +1,4 @@
-#include "request/latency.h"
+#include "entry/request/latency.h"
 
 #define QUANTILE 0.95
 #define GAIN 0.05
--- a/entry/serve.c
+++ b/entry/serve.c
@@ -9,7 +9,7 @@
 #include "entry/exchange.h"
 #include "entry/lookup_answer.h"
 #include "entry/node.h"
-#include "table/ramp.h"
+#include "entry/table/ramp.h"
 
 enum { KEYS_PER_CALL_MAX = 100, STATUS_CAPPED = 503 };
 
--- a/entry/settings.h
+++ b/entry/settings.h
@@ -5,7 +5,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "backend/backend.h"
+#include "entry/backend/backend.h"
 #include "base/addr.h"
 #include "base/error.h"
 #include "base/log.h"
--- a/table/edit.c
+++ b/entry/table/edit.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 #include "base/xmalloc.h"
-#include "table/edit.h"
-#include "table/ramp.h"
+#include "entry/table/edit.h"
+#include "entry/table/ramp.h"
 
 static const char *const column_names[COLUMN_COUNT] = {
     [COLUMN_WEIGHT] = "weight", [COLUMN_LIMIT] = "limit", [COLUMN_RATE] = "rate",
--- a/table/edit.h
+++ b/entry/table/edit.h
@@ -12,7 +12,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "table/table.h"
+#include "entry/table/table.h"
 
 enum { EDIT_VALUE_MAX = 64 };
 
--- a/table/ramp.c
+++ b/entry/table/ramp.c
@@ -2,7 +2,7 @@
 
 #include "base/mutate.h"
 #include "base/xmalloc.h"
-#include "table/ramp.h"
+#include "entry/table/ramp.h"
 
 #define POINTS 100.0
 #define EPSILON_POINTS 1e-9
--- a/table/ramp.h
+++ b/entry/table/ramp.h
@@ -12,7 +12,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#include "table/table.h"
+#include "entry/table/table.h"
 
 enum {
     RAMP_ANSWER_TTL_MS = 5000, /* life of a look-up answer */
--- a/table/table.c
+++ b/entry/table/table.c
@@ -5,7 +5,7 @@
 #include <jansson.h>
 
 #include "base/xmalloc.h"
-#include "table/table.h"
+#include "entry/table/table.h"
 
 #define POINTS 100.0
 
--- a/load/steering.c
+++ b/load/steering.c
@@ -6,7 +6,7 @@
 
 #include "base/clock.h"
 #include "base/xmalloc.h"
-#include "http/fetch.h"
+#include "entry/http/fetch.h"
 #include "load/steering.h"
 
 enum {
--- a/load/steering.h
+++ b/load/steering.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/rng.h"
-#include "http/call.h"
+#include "entry/http/call.h"
 #include "load/config.h"
 
 typedef struct steering steering_t;
--- a/test/credit_sim.c
+++ b/test/credit_sim.c
@@ -4,8 +4,8 @@
 
 #include "base/rng.h"
 #include "base/xmalloc.h"
-#include "region/credit.h"
-#include "region/plan.h"
+#include "entry/region/credit.h"
+#include "entry/region/plan.h"
 #include "test/credit_sim.h"
 
 enum {
--- a/test/test_backend.c
+++ b/test/test_backend.c
@@ -2,7 +2,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#include "backend/backend.h"
+#include "entry/backend/backend.h"
 #include "base/mutate.h"
 #include "base/xmalloc.h"
 #include "test/suites.h"
--- a/test/test_credit.c
+++ b/test/test_credit.c
@@ -2,8 +2,8 @@
 #include <stdlib.h>
 
 #include "base/mutate.h"
-#include "region/credit.h"
-#include "region/gate.h"
+#include "entry/region/credit.h"
+#include "entry/region/gate.h"
 #include "test/credit_sim.h"
 #include "test/suites.h"
 
--- a/test/test_fleet.c
+++ b/test/test_fleet.c
@@ -2,9 +2,9 @@
 #include <string.h>
 
 #include "base/mutate.h"
-#include "fleet/loads.h"
-#include "fleet/member.h"
-#include "fleet/objects.h"
+#include "entry/fleet/loads.h"
+#include "entry/fleet/member.h"
+#include "entry/fleet/objects.h"
 #include "test/suites.h"
 
 static uint64_t in_force;
--- a/test/test_lookup.c
+++ b/test/test_lookup.c
@@ -5,10 +5,10 @@
 
 #include "base/rng.h"
 #include "base/xmalloc.h"
-#include "lookup/blocks.h"
-#include "lookup/plan.h"
-#include "lookup/spill.h"
-#include "lookup/steer.h"
+#include "entry/lookup/blocks.h"
+#include "entry/lookup/plan.h"
+#include "entry/lookup/spill.h"
+#include "entry/lookup/steer.h"
 #include "test/suites.h"
 
 enum { BLOCKS = 5000, CHUNK = 1000 };
--- a/test/test_network.c
+++ b/test/test_network.c
@@ -9,8 +9,8 @@
 #include "base/clock.h"
 #include "base/counter.h"
 #include "base/xmalloc.h"
-#include "http/fetch.h"
-#include "http/server.h"
+#include "entry/http/fetch.h"
+#include "entry/http/server.h"
 #include "peer/link.h"
 #include "test/suites.h"
 
--- a/test/test_request.c
+++ b/test/test_request.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 #include "base/rng.h"
-#include "request/budget.h"
-#include "request/key.h"
-#include "request/latency.h"
+#include "entry/request/budget.h"
+#include "entry/request/key.h"
+#include "entry/request/latency.h"
 #include "test/suites.h"
 
 START_TEST(minted_keys_name_their_owner)
--- a/test/test_table.c
+++ b/test/test_table.c
@@ -7,8 +7,8 @@
 #include "base/mutate.h"
 #include "base/rng.h"
 #include "base/xmalloc.h"
-#include "table/edit.h"
-#include "table/ramp.h"
+#include "entry/table/edit.h"
+#include "entry/table/ramp.h"
 #include "test/suites.h"
 
 static const char two_rows[] =
