--- a/entry/lookup/steer.c
+++ b/entry/lookup/steer.c
@@ -15,32 +15,6 @@
     return steer;
 }
 
-static void
-free_service(service_t *service)
-{
-    table_free(service->table);
-    free(service->shares);
-    free(service->rises);
-    free(service->skip);
-    free(service->regions);
-    steer_plan_free(service->plan);
-    spill_free(service->lookup_spill);
-    spill_free(service->request_spill);
-    free(service);
-}
-
-void
-steer_free(steer_t *steer)
-{
-    if (steer == NULL)
-        return;
-    for (size_t i = 0; i < steer->service_count; i++)
-        free_service(steer->services[i]);
-    free(steer->topology);
-    blocks_free(steer->blocks);
-    free(steer);
-}
-
 service_t *
 steer_find(const steer_t *steer, str_t service)
 {
--- a/entry/lookup/steer.h
+++ b/entry/lookup/steer.h
@@ -43,7 +43,6 @@
 } steer_t;
 
 steer_t *steer_new(void);
-void steer_free(steer_t *steer);
 /* Takes ownership of what is passed. */
 bool steer_set_table(steer_t *steer, table_t *table);
 void steer_set_topology(steer_t *steer, topology_t *topology);
--- a/entry/table/edit.c
+++ b/entry/table/edit.c
@@ -12,7 +12,7 @@
     [COLUMN_CAP] = "cap",       [COLUMN_STATE] = "state",
 };
 
-bool
+static bool
 column_parse(str_t text, column_t *out)
 {
     for (size_t i = 0; i < COLUMN_COUNT; i++) {
--- a/entry/table/edit.h
+++ b/entry/table/edit.h
@@ -46,7 +46,6 @@
     EDIT_REFUSED, /* another operator changed a cell, or the result breaks a rule */
 } edit_result_t;
 
-bool column_parse(str_t text, column_t *out);
 const char *column_name(column_t column);
 /* Text of a cell, as shown to operators and compared by edits. */
 void column_format(const table_row_t *row, column_t column, char out[EDIT_VALUE_MAX]);
--- a/gateway/membership/members.c
+++ b/gateway/membership/members.c
@@ -40,7 +40,8 @@
     return member->interval_ms > 0 ? member->interval_ms : HEARTBEAT_MIN_MS;
 }
 
-uint64_t
+/* Silence, in milliseconds, after which an instance counts as lost. */
+static uint64_t
 member_lost_after_ms(const member_t *member)
 {
     return (uint64_t)(LOST_INTERVALS * interval_of(member));
--- a/gateway/membership/members.h
+++ b/gateway/membership/members.h
@@ -81,9 +81,7 @@
 bool members_follow_store(const members_t *members, uint32_t age_ms, uint64_t now_ms);
 /* True if the store fails all living members but the one named `own`. */
 bool members_store_fails_all(const members_t *members, str_t own, uint64_t now_ms);
-/* Silence, in milliseconds, after which an instance counts as lost, and after which it is not named
- * to callers any more. */
-uint64_t member_lost_after_ms(const member_t *member);
+/* Silence, in milliseconds, after which an instance is not named to callers any more. */
 uint64_t member_unnamed_after_ms(const member_t *member);
 /* Slots that the callers of a region keep busy at a service: for the own region over its living
  * members, for another as the member last heard of there says. */
--- a/load/steering.c
+++ b/load/steering.c
@@ -101,8 +101,9 @@
     return entry_at(steering, addr)->target;
 }
 
-void
-steering_client_text(uint32_t client, char out[32])
+/* Address of a client block, as look-ups name it. */
+static void
+format_client(uint32_t client, char out[32])
 {
     snprintf(out, 32, "10.%u.%u.7", (client >> 8) & 0xff, client & 0xff);
 }
@@ -154,7 +155,7 @@
     const load_config_t *config = steering->config;
     char client[32];
     char path[256];
-    steering_client_text(lookup->client, client);
+    format_client(lookup->client, client);
     snprintf(path, sizeof(path), "/v1/lookup?service=%s&client=%s",
              config->classes[lookup->class_index].service.ptr, client);
     const addr_t *addr = &config->entries[(lookup->first + lookup->tries) % config->entry_count];
--- a/load/steering.h
+++ b/load/steering.h
@@ -29,6 +29,3 @@
 /* Connections to an entry, made on first use. */
 http_target_t *steering_target(steering_t *steering, const addr_t *addr);
 uint64_t steering_lookups(const steering_t *steering);
-
-/* Address of a client block, as look-ups name it. */
-void steering_client_text(uint32_t client, char out[32]);
--- a/standin/upstream.c
+++ b/standin/upstream.c
@@ -23,8 +23,6 @@
     standin_script_t script;
     void *ctx;
     standin_conn_t *conns;
-    size_t requests;
-    size_t accepted;
     size_t ended;
 };
 
@@ -136,7 +134,6 @@
         char *text = xmemdup0(conn->input, used);
         memmove(conn->input, conn->input + used, conn->len - used);
         conn->len -= used;
-        conn->upstream->requests++;
         conn->upstream->script(conn->upstream->ctx, conn, (str_t){text, used});
         free(text);
     }
@@ -154,7 +151,6 @@
     conn->tcp.data = conn;
     conn->next = upstream->conns;
     upstream->conns = conn;
-    upstream->accepted++;
     uv_accept(listener, (uv_stream_t *)&conn->tcp);
     uv_tcp_nodelay(&conn->tcp, 1);
     uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read);
@@ -184,28 +180,8 @@
     return upstream->addr;
 }
 
-size_t
-standin_upstream_requests(const standin_upstream_t *upstream)
-{
-    return upstream->requests;
-}
-
-size_t
-standin_upstream_accepted(const standin_upstream_t *upstream)
-{
-    return upstream->accepted;
-}
-
 size_t
 standin_upstream_ended(const standin_upstream_t *upstream)
 {
     return upstream->ended;
 }
-
-void
-standin_upstream_stop(standin_upstream_t *upstream)
-{
-    uv_close((uv_handle_t *)&upstream->listener, NULL);
-    while (upstream->conns != NULL)
-        standin_close(upstream->conns);
-}
--- a/standin/upstream.h
+++ b/standin/upstream.h
@@ -18,12 +18,8 @@
 standin_upstream_t *standin_upstream_start(uv_loop_t *loop, const addr_t *addr,
                                            standin_script_t script, void *ctx);
 addr_t standin_upstream_addr(const standin_upstream_t *upstream);
-/* Requests read, connections accepted, and connections that the other side has ended. */
-size_t standin_upstream_requests(const standin_upstream_t *upstream);
-size_t standin_upstream_accepted(const standin_upstream_t *upstream);
+/* Connections that the other side has closed. */
 size_t standin_upstream_ended(const standin_upstream_t *upstream);
-/* Stops listening and closes all connections. */
-void standin_upstream_stop(standin_upstream_t *upstream);
 
 void standin_send(standin_conn_t *conn, str_t bytes);
 /* Closes the connection after what was sent. */
