--- a/bin/gateway.c
+++ b/bin/gateway.c
@@ -111,8 +111,8 @@
         LOG_ERR("cannot start: err=%s detail=%s", err_name(err.code), err.detail);
         return EXIT_FAILURE;
     }
-    LOG_INFO("started: version=%s name=%s place=%s seeds=%zu settings=%016llx", IRISSTALL_VERSION,
-             settings->name.ptr, settings->place.ptr, settings->seed_count,
+    LOG_INFO("started: version=%s name=%s hall=%s seeds=%zu settings=%016llx", IRISSTALL_VERSION,
+             settings->name.ptr, settings->hall.ptr, settings->seed_count,
              (unsigned long long)str_hash((str_t){(const char *)settings, sizeof(*settings)}, 0));
     watch_signal(&process, &on_term, on_stop_signal, SIGTERM);
     watch_signal(&process, &on_int, on_stop_signal, SIGINT);
--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -35,7 +35,7 @@
     int64_t suspended = 0;
     for (size_t i = 0; i < router->backends.count; i++) {
         const backend_t *backend = router->backends.items[i];
-        leaving += backend->info.leaving || backend->zone_closed || backend->departed;
+        leaving += backend->info.leaving || backend->hall_closed || backend->departed;
         cold += backend_is_cold(backend, now);
         avoided += health_is_impaired(&backend->health, now);
         suspended += now < backend->suspended_until_ms;
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -80,7 +80,7 @@
     }
     const size_t count =
         directory_pick(&gateway->members, &gateway->settings.topology, question.region,
-                       question.place, uv_now(gateway->loop), addrs);
+                       question.hall, uv_now(gateway->loop), addrs);
     if (count == 0) {
         wire_respond(req, HTTP_STATUS_SERVICE_UNAVAILABLE, STR(""), STR(""));
         return;
@@ -330,7 +330,7 @@
     gateway->settings = *settings;
     gateway->ports = ports;
     router_init(&gateway->router, loop, &gateway->settings.topology, ports->decoder,
-                name_str(&settings->name), name_str(&settings->place));
+                name_str(&settings->name), name_str(&settings->hall));
     gateway->router.bounds = (router_bounds_t){
         .retry_ratio = settings->retry_ratio,
         .retry_constant = settings->retry_constant,
--- a/gateway/inspect.c
+++ b/gateway/inspect.c
@@ -16,13 +16,13 @@
 } row_t;
 
 static row_t
-sum_row(const router_t *router, const name_t *service, const name_t *place, uint64_t now)
+sum_row(const router_t *router, const name_t *service, const name_t *hall, uint64_t now)
 {
     row_t row = {0};
     for (size_t i = 0; i < router->backends.count; i++) {
         const backend_t *backend = router->backends.items[i];
         if (!name_eq(&backend->info.service, name_str(service)) ||
-            !name_eq(&backend->info.zone, name_str(place)))
+            !name_eq(&backend->info.hall, name_str(hall)))
             continue;
         row.upstreams++;
         row.ready += backend_is_usable(backend, now);
@@ -31,7 +31,7 @@
         row.paused += now < backend->suspended_until_ms;
         row.slots += backend->info.capacity;
         row.load += backend_load(backend, now);
-        row.closed |= backend->zone_closed;
+        row.closed |= backend->hall_closed;
     }
     return row;
 }
@@ -50,16 +50,16 @@
 print_rows(const router_t *router, const config_service_t *config, uint64_t now, wire_text_t *out)
 {
     const router_service_t *service = find_service(router, name_str(&config->name));
-    for (size_t i = 0; i < router->topology->place_count; i++) {
-        const topology_place_t *place = &router->topology->places[i];
-        const row_t row = sum_row(router, &config->name, &place->name, now);
+    for (size_t i = 0; i < router->topology->hall_count; i++) {
+        const topology_hall_t *hall = &router->topology->halls[i];
+        const row_t row = sum_row(router, &config->name, &hall->name, now);
         if (row.upstreams == 0)
             continue;
         const double share =
-            service != NULL && service->plan.started ? service->plan.share[place->region] : 0;
+            service != NULL && service->plan.started ? service->plan.share[hall->region] : 0;
         wire_text_printf(out, "%-16s %-16s %-16s %5.1f%% %9u %5u %7u %4u %6u %5u %6.1f  %s\n",
-                         config->name.ptr, place->name.ptr,
-                         router->topology->regions[place->region].ptr, 100 * share, row.upstreams,
+                         config->name.ptr, hall->name.ptr,
+                         router->topology->regions[hall->region].ptr, 100 * share, row.upstreams,
                          row.ready, row.leaving, row.cold, row.paused, row.slots, row.load,
                          row.closed ? "closed" : "open");
     }
@@ -91,8 +91,7 @@
 {
     const uint64_t now = uv_now(router->loop);
     const uint32_t age = sync_store_age(sync);
-    wire_text_printf(out, "instance %s place %s state %s\n", router->instance.ptr,
-                     router->place.ptr,
+    wire_text_printf(out, "instance %s place %s state %s\n", router->instance.ptr, router->hall.ptr,
                      leaving ? "leaving"
                      : ready ? "ready"
                              : "waiting");
@@ -108,7 +107,7 @@
         if (!member->heard)
             continue;
         wire_text_printf(out, "member %-24s %-16s %-7s heard %llu ms ago\n", member->instance.ptr,
-                         member->place.ptr,
+                         member->hall.ptr,
                          !member_alive(member, now) ? "lost"
                          : member->leaving          ? "leaving"
                          : member->ready            ? "ready"
@@ -124,7 +123,7 @@
         return "gone";
     if (backend->info.leaving)
         return "leaving";
-    if (backend->zone_closed)
+    if (backend->hall_closed)
         return "zone closed";
     if (now < backend->suspended_until_ms)
         return "paused after failures";
@@ -146,7 +145,7 @@
         .route = route,
         .service = name_str(name),
         .plan = service != NULL ? &service->plan : &no_plan,
-        .own_zone = name_str(&router->place),
+        .own_hall = name_str(&router->hall),
         .own_region = router->region,
         .object = object,
         .has_object = true,
@@ -167,7 +166,7 @@
         const backend_t *backend = router->backends.items[i];
         if (name_eq(&backend->info.service, name_str(name)))
             wire_text_printf(out, "  %-24s %-16s load %.1f of %u, work %.0f ms, %s\n",
-                             backend->info.id.ptr, backend->info.zone.ptr,
+                             backend->info.id.ptr, backend->info.hall.ptr,
                              backend_load(backend, now), backend->info.capacity, backend->work_ms,
                              why_not(backend, now));
     }
--- a/gateway/membership/directory.c
+++ b/gateway/membership/directory.c
@@ -8,7 +8,7 @@
 }
 
 static size_t
-collect(const members_t *members, const str_t *place, size_t region, uint64_t now_ms,
+collect(const members_t *members, const str_t *hall, size_t region, uint64_t now_ms,
         addr_t out[DIRECTORY_MAX])
 {
     size_t count = 0;
@@ -16,7 +16,7 @@
         const member_t *member = &members->items[i];
         if (!may_name(member, now_ms))
             continue;
-        if (place != NULL && !name_eq(&member->place, *place))
+        if (hall != NULL && !name_eq(&member->hall, *hall))
             continue;
         if (region != TOPOLOGY_NO_REGION && member->region != region)
             continue;
@@ -26,10 +26,10 @@
 }
 
 size_t
-directory_pick(const members_t *members, const topology_t *topology, str_t region, str_t place,
+directory_pick(const members_t *members, const topology_t *topology, str_t region, str_t hall,
                uint64_t now_ms, addr_t out[DIRECTORY_MAX])
 {
-    size_t count = collect(members, &place, TOPOLOGY_NO_REGION, now_ms, out);
+    size_t count = collect(members, &hall, TOPOLOGY_NO_REGION, now_ms, out);
     if (count == 0)
         count = collect(members, NULL, topology_region(topology, region), now_ms, out);
     if (count == 0)
--- a/gateway/membership/discovery.c
+++ b/gateway/membership/discovery.c
@@ -26,10 +26,10 @@
     }
     for (size_t i = 0; i < answer->item_count; i++) {
         addr_t addr;
-        name_t place;
+        name_t hall;
         err_t err = {0};
-        if (discovery->decoder->instance(answer->items[i].body, &addr, &place, &err))
-            heartbeat_know(discovery->heartbeat, &addr, &place);
+        if (discovery->decoder->instance(answer->items[i].body, &addr, &hall, &err))
+            heartbeat_know(discovery->heartbeat, &addr, &hall);
     }
     if (answer->more && answer->item_count > 0) {
         list_instances(discovery, answer->items[answer->item_count - 1].name);
@@ -61,5 +61,5 @@
     discovery->again_ms = now + (discovery->known ? ALONE_AGAIN_MS : ANNOUNCE_RETRY_MS);
     addr_format(&discovery->heartbeat->settings->peer, text);
     store->announce(store->ctx, name_str(&discovery->heartbeat->settings->name), str_from(text),
-                    name_str(&discovery->heartbeat->settings->place), on_announced, discovery);
+                    name_str(&discovery->heartbeat->settings->hall), on_announced, discovery);
 }
--- a/gateway/membership/heartbeat.c
+++ b/gateway/membership/heartbeat.c
@@ -19,7 +19,7 @@
     self->heard = true;
     self->heard_ms = now_ms;
     self->instance = heartbeat->settings->name;
-    self->place = heartbeat->settings->place;
+    self->hall = heartbeat->settings->hall;
     self->region = heartbeat->router->region;
     self->callers = heartbeat->settings->callers;
     self->incarnation = heartbeat->incarnation;
@@ -114,7 +114,7 @@
         iris__peer_address__init(&packed->peers[count]);
         addr_format(&member->peer, packed->peer_texts[count]);
         packed->peers[count].address = packed->peer_texts[count];
-        packed->peers[count].place = (char *)(uintptr_t)member->place.ptr;
+        packed->peers[count].place = (char *)(uintptr_t)member->hall.ptr;
         packed->peer_list[count] = &packed->peers[count];
         count++;
     }
@@ -150,7 +150,7 @@
     const gateway_settings_t *settings = heartbeat->settings;
     iris__gateway_heartbeat__init(message);
     message->instance = (char *)(uintptr_t)settings->name.ptr;
-    message->place = (char *)(uintptr_t)settings->place.ptr;
+    message->place = (char *)(uintptr_t)settings->hall.ptr;
     message->incarnation = heartbeat->incarnation;
     message->peer_address = packed->own_peer;
     message->caller_address = packed->own_callers;
@@ -234,13 +234,13 @@
 }
 
 void
-heartbeat_know(heartbeat_t *heartbeat, const addr_t *peer, const name_t *place)
+heartbeat_know(heartbeat_t *heartbeat, const addr_t *peer, const name_t *hall)
 {
     member_t *member = members_at(heartbeat->members, peer);
     if (member == NULL || member->heard)
         return;
-    member->place = *place;
-    member->region = topology_region_of(&heartbeat->settings->topology, name_str(place));
+    member->hall = *hall;
+    member->region = topology_region_of(&heartbeat->settings->topology, name_str(hall));
 }
 
 void
@@ -249,20 +249,20 @@
     addr_t peer;
     addr_t callers;
     name_t instance;
-    name_t place;
+    name_t hall;
     if (!addr_parse(str_from(message->peer_address), &peer) ||
         !addr_parse(str_from(message->caller_address), &callers) ||
         !name_set(&instance, str_from(message->instance)) ||
-        !name_set(&place, str_from(message->place))) {
+        !name_set(&hall, str_from(message->place))) {
         LOG_WARN("heartbeat not usable: instance=%s", message->instance);
         return;
     }
     for (size_t i = 0; i < message->n_peers; i++) {
         addr_t other;
-        name_t other_place;
+        name_t other_hall;
         if (addr_parse(str_from(message->peers[i]->address), &other) &&
-            name_set(&other_place, str_from(message->peers[i]->place)))
-            heartbeat_know(heartbeat, &other, &other_place);
+            name_set(&other_hall, str_from(message->peers[i]->place)))
+            heartbeat_know(heartbeat, &other, &other_hall);
     }
     member_t *member = members_at(heartbeat->members, &peer);
     if (member == NULL || addr_eq(&peer, &heartbeat->settings->peer))
@@ -272,16 +272,16 @@
     const bool expected = heartbeat->members->count <= MEMBERS_MESH ||
                           member->region == heartbeat->router->region || !member->heard;
     if (restarted || (expected && !member_alive(member, now_ms)))
-        LOG_INFO("instance heard: instance=%s place=%s silent_ms=%llu restarted=%d", instance.ptr,
-                 place.ptr, (unsigned long long)(member->heard ? now_ms - member->heard_ms : 0),
+        LOG_INFO("instance heard: instance=%s hall=%s silent_ms=%llu restarted=%d", instance.ptr,
+                 hall.ptr, (unsigned long long)(member->heard ? now_ms - member->heard_ms : 0),
                  restarted);
     if (message->leaving && !member->leaving)
         LOG_INFO("instance leaving: instance=%s", instance.ptr);
     member->heard = true;
     member->heard_ms = now_ms;
     member->instance = instance;
-    member->place = place;
-    member->region = topology_region_of(&heartbeat->settings->topology, name_str(&place));
+    member->hall = hall;
+    member->region = topology_region_of(&heartbeat->settings->topology, name_str(&hall));
     member->callers = callers;
     member->incarnation = message->incarnation;
     member->ready = message->ready;
--- a/gateway/membership/heartbeat.h
+++ b/gateway/membership/heartbeat.h
@@ -23,6 +23,6 @@
 void heartbeat_receive(heartbeat_t *heartbeat, const Iris__GatewayHeartbeat *message,
                        uint64_t now_ms);
 /* Takes in that there is an instance at that address. */
-void heartbeat_know(heartbeat_t *heartbeat, const addr_t *peer, const name_t *place);
+void heartbeat_know(heartbeat_t *heartbeat, const addr_t *peer, const name_t *hall);
 /* Keeps the instance's own entry among the members up to date. */
 void heartbeat_update_self(heartbeat_t *heartbeat, uint64_t now_ms);
--- a/gateway/membership/members.c
+++ b/gateway/membership/members.c
@@ -181,19 +181,19 @@
     return scaled < HEARTBEAT_MAX_MS ? (uint32_t)scaled : HEARTBEAT_MAX_MS;
 }
 
-/* The member's place among the members of its region, and the number of these. */
+/* The member's position among the members of its region, and the number of these. */
 static size_t
 index_in_region(const members_t *members, size_t index, size_t *count)
 {
-    size_t place = 0;
+    size_t position = 0;
     *count = 0;
     for (size_t i = 0; i < members->count; i++) {
         if (members->items[i].region != members->items[index].region)
             continue;
-        place += i < index;
+        position += i < index;
         (*count)++;
     }
-    return place;
+    return position;
 }
 
 bool
@@ -204,9 +204,9 @@
     if (members->count <= MEMBERS_MESH || member->region == own_region)
         return member_alive(member, now_ms) || now_ms - member->told_ms >= RETRY_SILENT_MS;
     size_t count;
-    const size_t place = index_in_region(members, index, &count);
+    const size_t position = index_in_region(members, index, &count);
     const size_t turn = (size_t)round * MEMBERS_OTHER_REGION % count;
-    return (place + count - turn) % count < MEMBERS_OTHER_REGION;
+    return (position + count - turn) % count < MEMBERS_OTHER_REGION;
 }
 
 uint64_t
--- a/gateway/membership/members.h
+++ b/gateway/membership/members.h
@@ -43,7 +43,7 @@
     addr_t peer;
     bool heard; /* at least one heartbeat; the fields below are unset before */
     name_t instance;
-    name_t place;
+    name_t hall;
     size_t region;
     addr_t callers;
     uint64_t incarnation;
--- a/gateway/membership/topology.c
+++ b/gateway/membership/topology.c
@@ -11,10 +11,10 @@
 }
 
 bool
-topology_add(topology_t *topology, str_t place, str_t region)
+topology_add(topology_t *topology, str_t hall, str_t region)
 {
     size_t index = topology_region(topology, region);
-    if (topology->place_count == TOPOLOGY_PLACES_MAX)
+    if (topology->hall_count == TOPOLOGY_HALLS_MAX)
         return false;
     if (index == TOPOLOGY_NO_REGION) {
         if (topology->region_count == TOPOLOGY_REGIONS_MAX)
@@ -24,20 +24,20 @@
             return false;
         topology->region_count++;
     }
-    topology_place_t *slot = &topology->places[topology->place_count];
-    if (!name_set(&slot->name, place))
+    topology_hall_t *slot = &topology->halls[topology->hall_count];
+    if (!name_set(&slot->name, hall))
         return false;
     slot->region = index;
-    topology->place_count++;
+    topology->hall_count++;
     return true;
 }
 
 size_t
-topology_region_of(const topology_t *topology, str_t place)
+topology_region_of(const topology_t *topology, str_t hall)
 {
-    for (size_t i = 0; i < topology->place_count; i++) {
-        if (name_eq(&topology->places[i].name, place))
-            return topology->places[i].region;
+    for (size_t i = 0; i < topology->hall_count; i++) {
+        if (name_eq(&topology->halls[i].name, hall))
+            return topology->halls[i].region;
     }
     return TOPOLOGY_NO_REGION;
 }
--- a/gateway/policy/choice.c
+++ b/gateway/policy/choice.c
@@ -104,7 +104,7 @@
 
 typedef struct {
     size_t region;
-    bool own_zone_only;
+    bool own_hall_only;
 } area_t;
 
 static bool
@@ -112,7 +112,7 @@
 {
     if (backend->region != area->region)
         return false;
-    return !area->own_zone_only || name_eq(&backend->info.zone, input->own_zone);
+    return !area->own_hall_only || name_eq(&backend->info.hall, input->own_hall);
 }
 
 /* The object's replicas in an area, the first in its order first; returns their number. */
@@ -184,7 +184,7 @@
         if (i != planned && i != input->own_region)
             areas[count++] = (area_t){i, false};
     }
-    /* Upstreams of zones that the settings don't know come last. */
+    /* Backend servers of data halls that the settings do not list come last. */
     areas[count++] = (area_t){TOPOLOGY_NO_REGION, false};
     return count;
 }
--- a/gateway/policy/choice.h
+++ b/gateway/policy/choice.h
@@ -32,7 +32,7 @@
     const config_route_t *route;
     str_t service;
     const plan_t *plan;
-    str_t own_zone;
+    str_t own_hall;
     size_t own_region;
     uint64_t object; /* hash of the object, or a random number */
     bool has_object; /* it is an object's */
--- a/gateway/ports.h
+++ b/gateway/ports.h
@@ -14,7 +14,7 @@
 typedef enum {
     VIEW_CONFIG,                   /* the operator's configuration */
     VIEW_BACKENDS,                 /* the list of upstreams */
-    VIEW_CLOSURES,                 /* zones whose upstreams get nothing */
+    VIEW_CLOSURES,                 /* data halls whose backend servers get no requests */
     VIEW_INSTANCES,                /* the instances of this system */
     VIEW_WATCHED = VIEW_INSTANCES, /* kinds below this one are followed all the time */
 } view_kind_t;
@@ -51,8 +51,7 @@
     void (*watch)(void *ctx, view_kind_t kind, uint64_t from, uint32_t wait_ms, store_cb_t cb,
                   void *cb_ctx);
     /* Makes or replaces an object of VIEW_INSTANCES. */
-    void (*announce)(void *ctx, str_t name, str_t address, str_t place, store_cb_t cb,
-                     void *cb_ctx);
+    void (*announce)(void *ctx, str_t name, str_t address, str_t hall, store_cb_t cb, void *cb_ctx);
     void *ctx;
 } store_port_t;
 
@@ -61,7 +60,7 @@
 typedef struct {
     name_t id;
     name_t service;
-    name_t zone;
+    name_t hall;
     addr_t addr;
     uint32_t capacity; /* requests it works on at once */
     bool leaving;
@@ -71,8 +70,8 @@
 typedef struct {
     config_t *(*config)(str_t body, err_t *err); /* NULL if it breaks a rule */
     bool (*backend)(str_t name, str_t body, backend_info_t *out, err_t *err);
-    /* The address for its peers, and its place. */
-    bool (*instance)(str_t body, addr_t *out, name_t *place, err_t *err);
+    /* The address for its peers, and its data hall. */
+    bool (*instance)(str_t body, addr_t *out, name_t *hall, err_t *err);
 } decoder_port_t;
 
 /* ---- requests and answers ---- */
@@ -117,7 +116,7 @@
 typedef struct {
     str_t service;
     str_t region;
-    str_t place;
+    str_t hall;
 } directory_question_t;
 
 typedef struct {
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -40,7 +40,7 @@
 
 void
 router_init(router_t *router, uv_loop_t *loop, const topology_t *topology,
-            const decoder_port_t *decoder, str_t instance, str_t place)
+            const decoder_port_t *decoder, str_t instance, str_t hall)
 {
     *router = (router_t){
         .loop = loop,
@@ -48,12 +48,12 @@
         .decoder = decoder,
         .rng = rng_system(),
         .key = member_key(instance),
-        .region = topology_region_of(topology, place),
+        .region = topology_region_of(topology, hall),
         .started_ms = uv_now(loop),
         .living = 1,
     };
     name_set(&router->instance, instance);
-    name_set(&router->place, place);
+    name_set(&router->hall, hall);
 }
 
 router_service_t *
@@ -119,7 +119,7 @@
         if (impaired == backend->avoided)
             continue;
         backend->avoided = impaired;
-        LOG_INFO("upstream %s: id=%s service=%s failure_rate=%.2f outcomes=%.1f",
+        LOG_INFO("backend %s: id=%s service=%s failure_rate=%.2f outcomes=%.1f",
                  impaired ? "avoided" : "no longer avoided", backend->info.id.ptr,
                  backend->info.service.ptr, backend->health.failure_rate, backend->health.weight);
     }
@@ -221,7 +221,7 @@
         .route = route,
         .service = name_str(&service->name),
         .plan = &service->plan,
-        .own_zone = name_str(&router->place),
+        .own_hall = name_str(&router->hall),
         .own_region = router->region,
         .object = object,
         .has_object = has_object,
--- a/gateway/router.h
+++ b/gateway/router.h
@@ -44,7 +44,7 @@
     const decoder_port_t *decoder;
     router_bounds_t bounds;
     name_t instance;
-    name_t place;
+    name_t hall;
     size_t region;
     uint64_t key;
     rng_t rng;
@@ -63,7 +63,7 @@
 } router_t;
 
 void router_init(router_t *router, uv_loop_t *loop, const topology_t *topology,
-                 const decoder_port_t *decoder, str_t instance, str_t place);
+                 const decoder_port_t *decoder, str_t instance, str_t hall);
 /* Take in what is newer in the views. `grace_ms` is how long an upstream that is gone from the
  * list is still used: above 0 after trouble with the store, which may have lost entries. */
 void router_take_config(router_t *router, const view_t *view);
--- a/gateway/settings.c
+++ b/gateway/settings.c
@@ -60,7 +60,7 @@
     CYAML_FIELD_SEQUENCE("seeds", CYAML_FLAG_POINTER | CYAML_FLAG_OPTIONAL, raw_t, seeds,
                          &seed_schema, 0, SETTINGS_SEEDS),
     CYAML_FIELD_SEQUENCE("places", CYAML_FLAG_POINTER, raw_t, places, &place_schema, 1,
-                         TOPOLOGY_PLACES_MAX),
+                         TOPOLOGY_HALLS_MAX),
     NUMBER(directory_ttl_s),
     NUMBER(grace_s),
     NUMBER(retry_ratio),
@@ -106,8 +106,8 @@
         if (!topology_add(&out->topology, str_from(place->place), str_from(place->region)))
             return bad(err, "places", place->place, "a name, and a region's name");
     }
-    if (topology_region_of(&out->topology, name_str(&out->place)) == TOPOLOGY_NO_REGION)
-        return bad(err, "place", out->place.ptr, "one of places");
+    if (topology_region_of(&out->topology, name_str(&out->hall)) == TOPOLOGY_NO_REGION)
+        return bad(err, "place", out->hall.ptr, "one of places");
     return true;
 }
 
@@ -136,7 +136,7 @@
     if (raw->admin != NULL && !read_addr("admin", raw->admin, &out->admin, err))
         return false;
     return read_name("name", raw->name, &out->name, err) &&
-           read_name("place", raw->place, &out->place, err) &&
+           read_name("place", raw->place, &out->hall, err) &&
            read_addr("callers", raw->callers, &out->callers, err) &&
            read_addr("readiness", raw->readiness, &out->readiness, err) &&
            read_addr("directory", raw->directory, &out->directory, err) &&
--- a/gateway/settings.h
+++ b/gateway/settings.h
@@ -9,7 +9,7 @@
 
 typedef struct {
     name_t name;
-    name_t place;
+    name_t hall;
     addr_t callers;
     addr_t readiness;
     addr_t directory;
--- a/gateway/state/backends.c
+++ b/gateway/state/backends.c
@@ -24,7 +24,7 @@
     backend_t *backend = xcalloc(1, sizeof(*backend));
     backend->refs = 1;
     backend->key = str_hash(name_str(&info->id), KEY_SEED);
-    backend->region = topology_region_of(topology, name_str(&info->zone));
+    backend->region = topology_region_of(topology, name_str(&info->hall));
     backend->pool = loop != NULL ? wire_pool_new(loop, &info->addr, POOL_MAX) : NULL;
     return backend;
 }
@@ -151,7 +151,7 @@
 bool
 backend_is_usable(const backend_t *backend, uint64_t now_ms)
 {
-    if (!backend->listed || backend->info.leaving || backend->zone_closed || backend->departed)
+    if (!backend->listed || backend->info.leaving || backend->hall_closed || backend->departed)
         return false;
     return now_ms >= backend->suspended_until_ms && !backend->probing;
 }
--- a/gateway/state/backends.h
+++ b/gateway/state/backends.h
@@ -20,7 +20,7 @@
     size_t refs;
     uint64_t revision;     /* of the object it was read from */
     bool listed;           /* in the newest list of the store */
-    bool zone_closed;      /* its zone gets nothing */
+    bool hall_closed;      /* its data hall is closed */
     bool departed;         /* said itself that it is not the listed one */
     uint64_t unlist_at_ms; /* when its absence from the list takes effect, 0 if it is there */
     uint64_t cold_until_ms;
--- a/gateway/state/router_state.c
+++ b/gateway/state/router_state.c
@@ -5,7 +5,9 @@
 #include "base/xmalloc.h"
 #include "gateway/router.h"
 
-enum { COLD_MARGIN_MS = 500 }; /* added to the cold time of upstreams whose zone opens again */
+enum {
+    COLD_MARGIN_MS = 500
+}; /* added to the cold time of backend servers whose data hall opens again */
 
 /* What the configuration says of an upstream's service; NULL if nothing. */
 static const config_service_t *
@@ -76,8 +78,8 @@
     err_t err = {0};
     if (!router->decoder->backend(str_from(item->name), (str_t){item->body, item->body_len}, &info,
                                   &err)) {
-        LOG_WARN("upstream entry not usable: id=%s err=%s detail=%s", item->name,
-                 err_name(err.code), err.detail);
+        LOG_WARN("backend entry not usable: id=%s err=%s detail=%s", item->name, err_name(err.code),
+                 err.detail);
         return;
     }
     const bool was_leaving = known != NULL && known->info.leaving;
@@ -89,11 +91,11 @@
         pace_cold(router, backend, now);
     if (known == NULL) {
         apply_service_bounds(router, backend);
-        LOG_INFO("upstream known: id=%s service=%s zone=%s capacity=%u cold_ms=%u leaving=%d",
-                 info.id.ptr, info.service.ptr, info.zone.ptr, info.capacity, info.cold_ms,
+        LOG_INFO("backend known: id=%s service=%s hall=%s capacity=%u cold_ms=%u leaving=%d",
+                 info.id.ptr, info.service.ptr, info.hall.ptr, info.capacity, info.cold_ms,
                  info.leaving);
     } else if (info.leaving && !was_leaving) {
-        LOG_INFO("upstream leaving: id=%s revision=%llu", info.id.ptr,
+        LOG_INFO("backend leaving: id=%s revision=%llu", info.id.ptr,
                  (unsigned long long)item->revision);
     }
 }
@@ -104,7 +106,7 @@
     if (backend->unlist_at_ms != 0)
         return;
     backend->unlist_at_ms = now + grace_ms;
-    LOG_INFO("upstream not listed any more: id=%s grace_ms=%llu", backend->info.id.ptr,
+    LOG_INFO("backend not listed any more: id=%s grace_ms=%llu", backend->info.id.ptr,
              (unsigned long long)grace_ms);
 }
 
@@ -149,7 +151,7 @@
     router->backends_known = true;
 }
 
-/* Upstreams of a zone that opens again may have lost their memory meanwhile. */
+/* Backend servers of a data hall that opens again may have lost their memory meanwhile. */
 static void
 reopen(router_t *router, backend_t *backend, uint64_t now)
 {
@@ -166,12 +168,12 @@
     const uint64_t now = uv_now(router->loop);
     for (size_t i = 0; i < router->backends.count; i++) {
         backend_t *backend = router->backends.items[i];
-        const bool closed = view_find(view, name_str(&backend->info.zone)) != NULL;
-        if (backend->zone_closed && !closed)
+        const bool closed = view_find(view, name_str(&backend->info.hall)) != NULL;
+        if (backend->hall_closed && !closed)
             reopen(router, backend, now);
-        if (backend->zone_closed != closed)
-            LOG_INFO("upstream's zone %s: id=%s zone=%s at=%llu", closed ? "closed" : "open",
-                     backend->info.id.ptr, backend->info.zone.ptr, (unsigned long long)view->at);
-        backend->zone_closed = closed;
+        if (backend->hall_closed != closed)
+            LOG_INFO("data hall of a backend %s: id=%s hall=%s at=%llu", closed ? "closed" : "open",
+                     backend->info.id.ptr, backend->info.hall.ptr, (unsigned long long)view->at);
+        backend->hall_closed = closed;
     }
 }
--- a/test/test_gateway.c
+++ b/test/test_gateway.c
@@ -319,12 +319,12 @@
 } choice_fixture_t;
 
 static backend_t *
-add_backend(choice_fixture_t *fixture, const char *id, const char *zone)
+add_backend(choice_fixture_t *fixture, const char *id, const char *hall)
 {
     backend_info_t info = {.capacity = 4};
     name_set(&info.id, str_from(id));
     name_set(&info.service, STR("svc"));
-    name_set(&info.zone, str_from(zone));
+    name_set(&info.hall, str_from(hall));
     return backends_put(&fixture->backends, &info, &fixture->topology, NULL, 1000);
 }
 
@@ -343,7 +343,7 @@
         .route = &fixture->config->routes[0],
         .service = STR("svc"),
         .plan = &fixture->plan,
-        .own_zone = STR("a1"),
+        .own_hall = STR("a1"),
         .own_region = 0,
         .object = 0x1234567890abcdefULL,
         .has_object = true,
@@ -461,7 +461,7 @@
     fixture->input.may_spill = false;
     ck_assert_ptr_null(choice_pick(&fixture->input, &reason));
     /* Without any usable upstream in the region, another one serves all the same. */
-    fixture->backends.items[0]->zone_closed = true;
+    fixture->backends.items[0]->hall_closed = true;
     ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), far);
     free_choice(fixture);
 }
@@ -485,7 +485,7 @@
     fixture->backends.items[0]->in_flight = 20;
     ck_assert_ptr_null(choice_pick(&fixture->input, &reason));
     fixture->backends.items[0]->info.leaving = true;
-    near->zone_closed = true;
+    near->hall_closed = true;
     const backend_t *far = choice_pick(&fixture->input, &reason);
     ck_assert_ptr_nonnull(far);
     ck_assert_str_eq(far->info.id.ptr, "u3");
@@ -728,7 +728,7 @@
 /* ---- members and directory ---- */
 
 static member_t *
-add_member(members_t *members, const char *name, const char *place, size_t region, uint16_t port)
+add_member(members_t *members, const char *name, const char *hall, size_t region, uint16_t port)
 {
     char text[ADDR_TEXT_MAX];
     addr_t addr;
@@ -741,7 +741,7 @@
     member->region = region;
     member->callers = addr;
     name_set(&member->instance, str_from(name));
-    name_set(&member->place, str_from(place));
+    name_set(&member->hall, str_from(hall));
     return member;
 }
 
--- a/test/test_platform.c
+++ b/test/test_platform.c
@@ -108,7 +108,7 @@
     ck_assert(platform_directory.read_question(&head, &question));
     ck_assert(str_eq(question.service, STR("h.example")));
     ck_assert(str_eq(question.region, STR("a")));
-    ck_assert(str_eq(question.place, STR("a1")));
+    ck_assert(str_eq(question.hall, STR("a1")));
     wire_text_t fields = {0};
     wire_text_t body = {0};
     addr_t addrs[2];
--- a/test/test_whole.c
+++ b/test/test_whole.c
@@ -247,7 +247,7 @@
         .retry_window_ms = 10000,
     };
     name_set(&settings.name, str_from(name));
-    name_set(&settings.place, STR("a1"));
+    name_set(&settings.hall, STR("a1"));
     topology_add(&settings.topology, STR("a1"), STR("a"));
     if (seed != NULL)
         settings.seeds[settings.seed_count++] = *seed;
