--- a/base/addr.c
+++ b/base/addr.c
@@ -60,6 +60,15 @@
     return ntohs(addr->sa.sa_family == AF_INET6 ? addr->v6.sin6_port : addr->v4.sin_port);
 }
 
+void
+addr_set_port(addr_t *addr, uint16_t port)
+{
+    if (addr->sa.sa_family == AF_INET6)
+        addr->v6.sin6_port = htons(port);
+    else
+        addr->v4.sin_port = htons(port);
+}
+
 bool
 addr_eq(const addr_t *a, const addr_t *b)
 {
--- a/base/addr.h
+++ b/base/addr.h
@@ -21,4 +21,5 @@
 const char *addr_format(const addr_t *addr, char buf[ADDR_TEXT_MAX]);
 socklen_t addr_len(const addr_t *addr);
 uint16_t addr_port(const addr_t *addr);
+void addr_set_port(addr_t *addr, uint16_t port);
 bool addr_eq(const addr_t *a, const addr_t *b);
--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -24,9 +24,9 @@
                 value);
 }
 
-/* What is believed of the upstreams; one may be in several states. */
+/* States of the backends; one may be in several. */
 static void
-set_upstream_gauges(const router_t *router)
+set_backend_gauges(const router_t *router)
 {
     const uint64_t now = uv_now(router->loop);
     int64_t leaving = 0;
@@ -71,7 +71,7 @@
               router->catalog.config != NULL ? (int64_t)router->catalog.config->revision : 0);
     set_gauge("irisstall_instances_living", "Instances heard of, this one too.", router->living);
     set_gauge("irisstall_upstreams", "Upstreams known.", (int64_t)router->catalog.backends.count);
-    set_upstream_gauges(router);
+    set_backend_gauges(router);
     set_plan_gauges(router);
     set_gauge("irisstall_requests_active", "Requests under way.",
               (int64_t)admin->exchanges->active);
@@ -86,6 +86,19 @@
     free(text);
 }
 
+static void
+answer_status(const admin_t *admin, wire_text_t *out)
+{
+    const inspect_status_t status = {
+        .router = admin->router,
+        .members = admin->members,
+        .store_watch = admin->store_watch,
+        .ready = admin->heartbeat->ready,
+        .leaving = admin->heartbeat->leaving,
+    };
+    inspect_status(&status, out);
+}
+
 void
 admin_answer(const admin_t *admin, wire_request_t *req)
 {
@@ -98,8 +111,7 @@
     if (str_eq(path, STR("/table")))
         inspect_table(admin->router, wire_head_query(&req->head, STR("service")), &text);
     else if (str_eq(path, STR("/status")))
-        inspect_status(admin->router, admin->sync, admin->heartbeat->ready,
-                       admin->heartbeat->leaving, &text);
+        answer_status(admin, &text);
     else if (str_eq(path, STR("/explain")))
         inspect_explain(admin->router, wire_head_query(&req->head, STR("host")),
                         wire_head_query(&req->head, STR("path")),
--- a/gateway/admin.h
+++ b/gateway/admin.h
@@ -1,4 +1,10 @@
-/* The admin pages of an instance: metrics, table, status, explanation. */
+/*
+ * Admin pages of an instance: metrics, table, status, explanation; read by irisctl and by
+ * monitoring.
+ *
+ * Owns the gauges. Reads the state of the instance and changes nothing; the pages' text is written
+ * by inspect.h.
+ */
 #pragma once
 
 #include "gateway/path/exchange.h"
@@ -7,10 +13,12 @@
 
 typedef struct {
     const router_t *router;
-    const sync_t *sync;
+    const members_t *members;
+    const store_watch_t *store_watch;
     const heartbeat_t *heartbeat;
     const exchanges_t *exchanges;
     const wire_listener_t *callers;
 } admin_t;
 
+/* Answers a question to the admin address. */
 void admin_answer(const admin_t *admin, wire_request_t *req);
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -1,29 +1,23 @@
 #include <stdlib.h>
-#include <string.h>
-
-#include <http_parser.h>
 
 #define LOG_MODULE "gateway"
 #include "base/log.h"
 #include "base/xmalloc.h"
 #include "gateway/admin.h"
-#include "gateway/membership/directory.h"
+#include "gateway/endpoints.h"
+#include "gateway/gateway.h"
+#include "gateway/listeners.h"
 #include "gateway/membership/discovery.h"
 #include "gateway/path/exchange.h"
 #include "gateway/policy/shutdown.h"
-#include "gateway/gateway.h"
-#include "gateway/membership/heartbeat.h"
 #include "wire/client.h"
 
 enum {
-    TICK_MS = 200,
-    STALLED_MS = 1500,    /* peer connections without progress are closed */
-    SWEEP_IDLE_MS = 9000, /* idle upstream connections are closed */
-    SMALL_HEAD_MAX = 8192,
-    SMALL_CONNECTIONS_MAX = 512,
-    CALLER_CONNECTIONS_MAX = 3000,
-    HEAD_TIMEOUT_MS = 3000,
-    IDLE_TIMEOUT_MS = 15000,
+    TICK_MS = 200, /* regular work; the shortest interval of anything done there is 400 ms */
+    /* Peer connections without progress are closed: as long as unacknowledged bytes are borne. */
+    PEER_STALLED_MS = 1500,
+    /* Idle connections to backends are closed. Chosen: above the age at which they are used. */
+    BACKEND_IDLE_MS = 9000,
 };
 
 struct gateway {
@@ -33,19 +27,20 @@
     router_t router;
     exchanges_t exchanges;
     members_t members;
-    sync_t sync;
+    views_t views;
+    store_watch_t store_watch;
+    view_relay_t view_relay;
     heartbeat_t heartbeat;
+    discovery_t discovery;
     peer_hub_t *hub;
-    wire_listener_t *callers;
-    wire_listener_t *readiness;
-    wire_listener_t *directory;
-    wire_listener_t *admin;
+    listeners_t listeners;
     uv_timer_t tick;
     bool stopping;
     uint64_t stop_ms;
-    discovery_t discovery;
 };
 
+/* ---- questions from outside ---- */
+
 static void
 on_caller_request(void *ctx, wire_request_t *req)
 {
@@ -54,41 +49,24 @@
 }
 
 static void
-on_ready_question(void *ctx, wire_request_t *req)
+on_readiness_check(void *ctx, wire_request_t *req)
 {
-    gateway_t *gateway = ctx;
-    if (!gateway->ports->directory->is_ready_question(&req->head))
-        wire_respond(req, HTTP_STATUS_NOT_FOUND, STR(""), STR(""));
-    else if (gateway->heartbeat.ready && !gateway->stopping)
-        wire_respond(req, HTTP_STATUS_OK, STR(""), STR(""));
-    else
-        wire_respond(req, HTTP_STATUS_SERVICE_UNAVAILABLE, STR(""), STR(""));
+    const gateway_t *gateway = ctx;
+    const bool ready = gateway->heartbeat.ready && !gateway->stopping;
+    endpoint_answer_readiness(gateway->ports->directory, ready, req);
 }
 
 static void
 on_directory_question(void *ctx, wire_request_t *req)
 {
-    gateway_t *gateway = ctx;
-    directory_question_t question;
-    addr_t addrs[DIRECTORY_MAX];
-    if (!gateway->ports->directory->read_question(&req->head, &question)) {
-        wire_respond(req, HTTP_STATUS_NOT_FOUND, STR(""), STR(""));
-        return;
-    }
-    const size_t count =
-        directory_pick(&gateway->members, &gateway->settings.topology, question.region,
-                       question.hall, uv_now(gateway->loop), addrs);
-    if (count == 0) {
-        wire_respond(req, HTTP_STATUS_SERVICE_UNAVAILABLE, STR(""), STR(""));
-        return;
-    }
-    wire_text_t fields = {0};
-    wire_text_t body = {0};
-    gateway->ports->directory->write_addresses(addrs, count, gateway->settings.directory_ttl_s,
-                                               &fields, &body);
-    wire_respond(req, HTTP_STATUS_OK, (str_t){fields.ptr, fields.len}, (str_t){body.ptr, body.len});
-    free(fields.ptr);
-    free(body.ptr);
+    const gateway_t *gateway = ctx;
+    const directory_endpoint_t endpoint = {
+        .port = gateway->ports->directory,
+        .members = &gateway->members,
+        .topology = &gateway->settings.topology,
+        .ttl_s = gateway->settings.directory_ttl_s,
+    };
+    endpoint_answer_directory(&endpoint, uv_now(gateway->loop), req);
 }
 
 static void
@@ -97,53 +75,56 @@
     const gateway_t *gateway = ctx;
     const admin_t admin = {
         .router = &gateway->router,
-        .sync = &gateway->sync,
+        .members = &gateway->members,
+        .store_watch = &gateway->store_watch,
         .heartbeat = &gateway->heartbeat,
         .exchanges = &gateway->exchanges,
-        .callers = gateway->callers,
+        .callers = gateway->listeners.callers,
     };
     admin_answer(&admin, req);
 }
 
+/* ---- news from the store and from peers ---- */
+
 static void
-apply_caller_limits(gateway_t *gateway)
+apply_config(gateway_t *gateway, const view_t *view)
 {
+    router_apply_config(&gateway->router, view);
     const config_t *config = gateway->router.catalog.config;
-    if (config == NULL)
-        return;
-    const wire_limits_t limits = {
-        .max_head = config->limits.max_head_bytes,
-        .max_body = config->limits.max_body_bytes,
-        .head_timeout_ms = config->limits.head_timeout_ms,
-        .idle_timeout_ms = config->limits.idle_timeout_ms,
-        .max_connections = CALLER_CONNECTIONS_MAX,
-    };
-    wire_listener_set_limits(gateway->callers, &limits);
+    if (config != NULL)
+        listeners_apply_limits(&gateway->listeners, &config->limits);
 }
 
 static void
-on_view(void *ctx, view_kind_t kind)
+on_view_change(void *ctx, view_kind_t kind)
 {
     gateway_t *gateway = ctx;
-    const view_t *view = &gateway->sync.views[kind];
     catalog_t *catalog = &gateway->router.catalog;
+    const view_t *view = &gateway->views.items[kind];
+    view_relay_view_changed(&gateway->view_relay, kind);
     switch (kind) {
     case VIEW_CONFIG:
-        router_apply_config(&gateway->router, view);
-        apply_caller_limits(gateway);
+        apply_config(gateway, view);
         break;
     case VIEW_BACKENDS:
-        catalog_apply_backends(catalog, view, sync_store_was_down(&gateway->sync));
-        catalog_apply_closures(catalog, &gateway->sync.views[VIEW_CLOSURES]);
+        catalog_apply_backends(catalog, view, store_watch_had_outage(&gateway->store_watch));
+        catalog_apply_closures(catalog, &gateway->views.items[VIEW_CLOSURES]);
         break;
     case VIEW_CLOSURES:
         catalog_apply_closures(catalog, view);
         break;
     case VIEW_INSTANCES:
-        break;
+        BUG("not a watched kind");
     }
 }
 
+static void
+on_delta(void *ctx, const view_delta_t *delta)
+{
+    gateway_t *gateway = ctx;
+    view_relay_send(&gateway->view_relay, delta);
+}
+
 static void
 on_peer_message(void *ctx, peer_conn_t *conn, const Iris__Envelope *message)
 {
@@ -153,10 +134,10 @@
         heartbeat_receive(&gateway->heartbeat, message->gateway, uv_now(gateway->loop));
         break;
     case IRIS__ENVELOPE__BODY_VIEW_UPDATE:
-        sync_on_update(&gateway->sync, message->view_update);
+        view_relay_on_update(&gateway->view_relay, message->view_update);
         break;
     case IRIS__ENVELOPE__BODY_VIEW_REQUEST:
-        sync_on_request(&gateway->sync, conn, message->view_request);
+        view_relay_on_request(&gateway->view_relay, conn, message->view_request);
         break;
     default:
         LOG_WARN("message of an unknown kind: kind=%d", (int)message->body_case);
@@ -164,19 +145,22 @@
     }
 }
 
+/* ---- regular work and planned stop ---- */
+
 static void
 advance_stop(gateway_t *gateway)
 {
+    wire_listener_t *callers = gateway->listeners.callers;
     const uint64_t age_ms = uv_now(gateway->loop) - gateway->stop_ms;
     if (shutdown_refuses_connections(age_ms)) {
-        wire_listener_close(gateway->callers);
-        wire_listener_close_idle(gateway->callers);
+        wire_listener_close(callers);
+        wire_listener_close_idle(callers);
     }
     const shutdown_input_t input = {
         .age_ms = age_ms,
         .grace_ms = gateway->settings.grace_ms,
         .requests = gateway->exchanges.active,
-        .connections = wire_listener_connections(gateway->callers),
+        .connections = wire_listener_connections(callers),
     };
     if (!shutdown_is_due(&input))
         return;
@@ -191,102 +175,169 @@
     if (gateway->stopping)
         return;
     LOG_INFO("stopping: requests=%zu connections=%zu", gateway->exchanges.active,
-             wire_listener_connections(gateway->callers));
+             wire_listener_connections(gateway->listeners.callers));
     gateway->stopping = true;
     gateway->stop_ms = uv_now(gateway->loop);
-    gateway->heartbeat.leaving = true;
-    wire_listener_drain(gateway->callers);
-    sync_stop(&gateway->sync);
-    heartbeat_send(&gateway->heartbeat, uv_now(gateway->loop));
+    wire_listener_drain(gateway->listeners.callers);
+    store_watch_stop(&gateway->store_watch);
+    heartbeat_leave(&gateway->heartbeat, gateway->stop_ms);
 }
 
 static void
-sweep(gateway_t *gateway)
+close_idle_connections(gateway_t *gateway)
 {
-    for (size_t i = 0; i < gateway->router.catalog.backends.count; i++)
-        wire_pool_sweep(gateway->router.catalog.backends.items[i]->pool, SWEEP_IDLE_MS);
-    peer_hub_sweep_stalled(gateway->hub, STALLED_MS);
+    const backends_t *backends = &gateway->router.catalog.backends;
+    for (size_t i = 0; i < backends->count; i++)
+        wire_pool_sweep(backends->items[i]->pool, BACKEND_IDLE_MS);
+    peer_hub_sweep_stalled(gateway->hub, PEER_STALLED_MS);
 }
 
 static void
 on_tick(uv_timer_t *timer)
 {
     gateway_t *gateway = timer->data;
-    const uint64_t now = uv_now(gateway->loop);
-    gateway->heartbeat.ready = router_is_ready(&gateway->router);
-    heartbeat_update_self(&gateway->heartbeat, now);
+    const uint64_t now_ms = uv_now(gateway->loop);
+    heartbeat_set_ready(&gateway->heartbeat, router_is_ready(&gateway->router), now_ms);
     router_tick(&gateway->router, &gateway->members);
-    sync_tick(&gateway->sync);
+    store_watch_tick(&gateway->store_watch);
     if (!gateway->stopping)
-        discovery_tick(&gateway->discovery);
-    sweep(gateway);
-    const uint32_t interval = members_interval_ms(&gateway->members, gateway->router.region, now);
-    if (now - gateway->heartbeat.sent_ms + TICK_MS / 2 >= interval)
-        heartbeat_send(&gateway->heartbeat, now);
+        discovery_tick(&gateway->discovery, gateway->router.living <= 1);
+    close_idle_connections(gateway);
+    heartbeat_tick(&gateway->heartbeat, now_ms);
     log_flush();
     if (gateway->stopping)
         advance_stop(gateway);
 }
 
-static wire_listener_t *
-listen_small(gateway_t *gateway, const addr_t *addr, wire_handler_t handler, err_t *err)
-{
-    static const wire_limits_t limits = {
-        .max_head = SMALL_HEAD_MAX,
-        .max_body = SMALL_HEAD_MAX,
-        .head_timeout_ms = HEAD_TIMEOUT_MS,
-        .idle_timeout_ms = IDLE_TIMEOUT_MS,
-        .max_connections = SMALL_CONNECTIONS_MAX,
-    };
-    return wire_listener_start(gateway->loop, addr, &limits, handler, gateway, err);
-}
+/* ---- wiring ---- */
 
 static void
-set_port(addr_t *addr, uint16_t port)
+init_router(gateway_t *gateway)
 {
-    if (addr->sa.sa_family == AF_INET6)
-        addr->v6.sin6_port = htons(port);
-    else
-        addr->v4.sin_port = htons(port);
+    const gateway_settings_t *settings = &gateway->settings;
+    const router_conf_t conf = {
+        .topology = &settings->topology,
+        .decoder = gateway->ports->decoder,
+        .instance = name_str(&settings->name),
+        .hall = name_str(&settings->hall),
+        .retry_bounds =
+            {
+                .ratio = settings->retry_ratio,
+                .constant = settings->retry_constant,
+                .window_ms = settings->retry_window_ms,
+            },
+    };
+    router_init(&gateway->router, gateway->loop, &conf);
+    gateway->exchanges =
+        (exchanges_t){.router = &gateway->router, .dialect = gateway->ports->dialect};
 }
 
 static bool
-listen_all(gateway_t *gateway, err_t *err)
+open_ports(gateway_t *gateway, err_t *err)
 {
-    gateway_settings_t *settings = &gateway->settings;
-    static const wire_limits_t first_limits = {
-        .max_head = SMALL_HEAD_MAX * 2,
-        .max_body = 1 << 20,
-        .head_timeout_ms = HEAD_TIMEOUT_MS,
-        .idle_timeout_ms = IDLE_TIMEOUT_MS,
-        .max_connections = CALLER_CONNECTIONS_MAX,
+    const listener_handlers_t handlers = {
+        .callers = on_caller_request,
+        .readiness = on_readiness_check,
+        .directory = on_directory_question,
+        .admin = on_admin_question,
+        .ctx = gateway,
     };
-    gateway->callers = wire_listener_start(gateway->loop, &settings->callers, &first_limits,
-                                           on_caller_request, gateway, err);
-    if (gateway->callers == NULL)
-        return false;
-    set_port(&settings->callers, wire_listener_port(gateway->callers));
-    gateway->readiness = listen_small(gateway, &settings->readiness, on_ready_question, err);
-    if (gateway->readiness == NULL)
+    addr_t *peer = &gateway->settings.peer;
+    if (!listeners_open(&gateway->listeners, gateway->loop, &gateway->settings, &handlers, err))
         return false;
-    set_port(&settings->readiness, wire_listener_port(gateway->readiness));
-    gateway->directory = listen_small(gateway, &settings->directory, on_directory_question, err);
-    if (gateway->directory == NULL)
-        return false;
-    set_port(&settings->directory, wire_listener_port(gateway->directory));
-    if (settings->has_admin) {
-        gateway->admin = listen_small(gateway, &settings->admin, on_admin_question, err);
-        if (gateway->admin == NULL)
-            return false;
-        set_port(&settings->admin, wire_listener_port(gateway->admin));
-    }
-    gateway->hub = peer_hub_start(gateway->loop, &settings->peer, on_peer_message, gateway, err);
+    gateway->hub = peer_hub_start(gateway->loop, peer, on_peer_message, gateway, err);
     if (gateway->hub == NULL)
         return false;
-    set_port(&settings->peer, peer_hub_port(gateway->hub));
+    addr_set_port(peer, peer_hub_port(gateway->hub));
     return true;
 }
 
+static void
+init_views(gateway_t *gateway)
+{
+    gateway->views.on_change = on_view_change;
+    gateway->views.ctx = gateway;
+    const store_watch_conf_t watch_conf = {
+        .loop = gateway->loop,
+        .store = gateway->ports->store,
+        .members = &gateway->members,
+        .views = &gateway->views,
+        .instance = name_str(&gateway->settings.name),
+        .region = gateway->router.region,
+        .on_delta = on_delta,
+        .ctx = gateway,
+    };
+    store_watch_init(&gateway->store_watch, &watch_conf);
+    const view_relay_conf_t relay_conf = {
+        .loop = gateway->loop,
+        .hub = gateway->hub,
+        .members = &gateway->members,
+        .views = &gateway->views,
+        .watch = &gateway->store_watch,
+        .instance = name_str(&gateway->settings.name),
+        .region = gateway->router.region,
+    };
+    view_relay_init(&gateway->view_relay, &relay_conf);
+}
+
+static void
+init_membership(gateway_t *gateway)
+{
+    const gateway_settings_t *settings = &gateway->settings;
+    const heartbeat_conf_t heartbeat_conf = {
+        .settings = settings,
+        .members = &gateway->members,
+        .router = &gateway->router,
+        .views = &gateway->views,
+        .watch = &gateway->store_watch,
+        .relay = &gateway->view_relay,
+        .hub = gateway->hub,
+        .incarnation = rng_next(&gateway->router.rng),
+    };
+    heartbeat_init(&gateway->heartbeat, &heartbeat_conf, uv_now(gateway->loop));
+    const discovery_conf_t discovery_conf = {
+        .loop = gateway->loop,
+        .store = gateway->ports->store,
+        .decoder = gateway->ports->decoder,
+        .heartbeat = &gateway->heartbeat,
+        .instance = name_str(&settings->name),
+        .hall = name_str(&settings->hall),
+        .peer = settings->peer,
+    };
+    discovery_init(&gateway->discovery, &discovery_conf);
+}
+
+gateway_t *
+gateway_start(uv_loop_t *loop, const gateway_settings_t *settings, const gateway_ports_t *ports,
+              err_t *err)
+{
+    gateway_t *gateway = xcalloc(1, sizeof(*gateway));
+    gateway->loop = loop;
+    gateway->settings = *settings;
+    gateway->ports = ports;
+    init_router(gateway);
+    if (!open_ports(gateway, err)) {
+        free(gateway);
+        return NULL;
+    }
+    init_views(gateway);
+    init_membership(gateway);
+    gateway_reload(gateway, settings);
+    uv_timer_init(loop, &gateway->tick);
+    gateway->tick.data = gateway;
+    uv_timer_start(&gateway->tick, on_tick, 0, TICK_MS);
+    return gateway;
+}
+
+void
+gateway_reload(gateway_t *gateway, const gateway_settings_t *settings)
+{
+    for (size_t i = 0; i < settings->seed_count; i++)
+        members_at(&gateway->members, &settings->seeds[i]);
+}
+
+/* ---- for tests ---- */
+
 const gateway_settings_t *
 gateway_settings(const gateway_t *gateway)
 {
@@ -311,62 +362,3 @@
 {
     return gateway->exchanges.active;
 }
-
-void
-gateway_reload(gateway_t *gateway, const gateway_settings_t *settings)
-{
-    for (size_t i = 0; i < settings->seed_count; i++)
-        members_at(&gateway->members, &settings->seeds[i]);
-}
-
-gateway_t *
-gateway_start(uv_loop_t *loop, const gateway_settings_t *settings, const gateway_ports_t *ports,
-              err_t *err)
-{
-    gateway_t *gateway = xcalloc(1, sizeof(*gateway));
-    gateway->loop = loop;
-    gateway->settings = *settings;
-    gateway->ports = ports;
-    const router_conf_t router_conf = {
-        .topology = &gateway->settings.topology,
-        .decoder = ports->decoder,
-        .instance = name_str(&settings->name),
-        .hall = name_str(&settings->hall),
-        .retry_bounds =
-            {
-                .ratio = settings->retry_ratio,
-                .constant = settings->retry_constant,
-                .window_ms = settings->retry_window_ms,
-            },
-    };
-    router_init(&gateway->router, loop, &router_conf);
-    gateway->exchanges = (exchanges_t){.router = &gateway->router, .dialect = ports->dialect};
-    if (!listen_all(gateway, err)) {
-        free(gateway);
-        return NULL;
-    }
-    const sync_cbs_t cbs = {.on_view = on_view, .ctx = gateway};
-    sync_init(&gateway->sync, loop, ports->store, &gateway->members, name_str(&settings->name),
-              gateway->router.region, &cbs);
-    gateway->sync.hub = gateway->hub;
-    gateway->heartbeat = (heartbeat_t){
-        .settings = &gateway->settings,
-        .members = &gateway->members,
-        .router = &gateway->router,
-        .sync = &gateway->sync,
-        .hub = gateway->hub,
-        .incarnation = rng_next(&gateway->router.rng),
-    };
-    gateway->discovery = (discovery_t){
-        .loop = loop,
-        .store = ports->store,
-        .decoder = ports->decoder,
-        .heartbeat = &gateway->heartbeat,
-    };
-    heartbeat_update_self(&gateway->heartbeat, uv_now(loop));
-    gateway_reload(gateway, settings);
-    uv_timer_init(loop, &gateway->tick);
-    gateway->tick.data = gateway;
-    uv_timer_start(&gateway->tick, on_tick, 0, TICK_MS);
-    return gateway;
-}
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -1,8 +1,10 @@
 /*
- * A gateway instance: wires the listeners, the request path, membership and the views together.
+ * Gateway: one instance of irisstall-gateway.
  *
- * Instances keep nothing: a started one learns everything from the store or from its peers, and
- * answers "come back later" until it has.
+ * Wires the modules together and runs their regular work; decides nothing itself. Owns all state of
+ * the instance. Instances keep nothing on disk: a started one learns everything from the store or
+ * from its peers, and answers 503 with a time to come back until it has.
+ * Relies on the adapter behind ports.h for the platform.
  */
 #pragma once
 
@@ -20,18 +22,21 @@
 
 typedef struct gateway gateway_t;
 
-/* The ports must outlive the gateway. */
+/* NULL with an error if a port cannot be opened. The ports must outlive the gateway, which lives as
+ * long as its process. */
 gateway_t *gateway_start(uv_loop_t *loop, const gateway_settings_t *settings,
                          const gateway_ports_t *ports, err_t *err);
 /* Takes over what may change while running: the seeds. */
 void gateway_reload(gateway_t *gateway, const gateway_settings_t *settings);
-/* Planned stop: out of the directory at once, what was read is answered, then the loop stops. */
+/* Planned stop (policy/shutdown.h): out of the directory at once, requests that were read are
+ * answered, then the loop stops. */
 void gateway_stop(gateway_t *gateway);
-/* The settings in use, with the ports that the system chose where they said 0. */
+
+/* For tests: the settings in use, with the ports that the system chose where they said 0. */
 const gateway_settings_t *gateway_settings(const gateway_t *gateway);
-/* True if it prefers others to this upstream, for what it or other instances saw of it. */
+/* For tests: true if others are preferred to this backend (policy/health.h). */
 bool gateway_avoids(const gateway_t *gateway, str_t backend_id);
-/* Instances heard of lately, this one too. */
+/* For tests: instances heard of lately, this one too. */
 unsigned gateway_living(const gateway_t *gateway);
-/* Requests under way. */
+/* For tests: requests under way. */
 size_t gateway_active(const gateway_t *gateway);
--- a/gateway/inspect.c
+++ b/gateway/inspect.c
@@ -1,9 +1,8 @@
-#include <stdio.h>
+#include <uv.h>
 
 #include "gateway/inspect.h"
 
-enum { CELL_MAX = 48 };
-
+/* What a row of the table sums up. */
 typedef struct {
     unsigned backends;
     unsigned ready;
@@ -75,36 +74,42 @@
     }
 }
 
+static const char *
+state_name(bool ready, bool leaving)
+{
+    if (leaving)
+        return "leaving";
+    return ready ? "ready" : "waiting";
+}
+
+static void
+print_member(const member_t *member, uint64_t now, wire_text_t *out)
+{
+    const char *state =
+        member_alive(member, now) ? state_name(member->ready, member->leaving) : "lost";
+    wire_text_printf(out, "member %-24s %-16s %-7s heard %llu ms ago\n", member->instance.ptr,
+                     member->hall.ptr, state, (unsigned long long)(now - member->heard_ms));
+}
+
 void
-inspect_status(const router_t *router, const sync_t *sync, bool ready, bool leaving,
-               wire_text_t *out)
+inspect_status(const inspect_status_t *status, wire_text_t *out)
 {
+    const router_t *router = status->router;
+    const config_t *config = router->catalog.config;
     const uint64_t now = uv_now(router->loop);
-    const uint32_t age = sync_store_age(sync);
+    const uint32_t age_ms = store_watch_age_ms(status->store_watch);
     wire_text_printf(out, "instance %s place %s state %s\n", router->instance.ptr, router->hall.ptr,
-                     leaving ? "leaving"
-                     : ready ? "ready"
-                             : "waiting");
+                     state_name(status->ready, status->leaving));
     wire_text_printf(out, "configuration %s revision %llu\n",
-                     router->catalog.config != NULL ? router->catalog.config->version : "-",
-                     (unsigned long long)(router->catalog.config != NULL
-                                              ? router->catalog.config->revision
-                                              : 0));
-    if (age == STORE_AGE_NONE)
+                     config != NULL ? config->version : "-",
+                     (unsigned long long)(config != NULL ? config->revision : 0));
+    if (age_ms == STORE_AGE_NONE)
         wire_text_str(out, STR("store followed by peers\n"));
     else
-        wire_text_printf(out, "store followed here, last answer %u ms ago\n", age);
-    for (size_t i = 0; i < sync->members->count; i++) {
-        const member_t *member = &sync->members->items[i];
-        if (!member->heard)
-            continue;
-        wire_text_printf(out, "member %-24s %-16s %-7s heard %llu ms ago\n", member->instance.ptr,
-                         member->hall.ptr,
-                         !member_alive(member, now) ? "lost"
-                         : member->leaving          ? "leaving"
-                         : member->ready            ? "ready"
-                                                    : "waiting",
-                         (unsigned long long)(now - member->heard_ms));
+        wire_text_printf(out, "store followed here, last answer %u ms ago\n", age_ms);
+    for (size_t i = 0; i < status->members->count; i++) {
+        if (status->members->items[i].heard)
+            print_member(&status->members->items[i], now, out);
     }
 }
 
--- /dev/null
+++ b/gateway/listeners.c
@@ -0,0 +1,80 @@
+#include "gateway/listeners.h"
+
+#include "base/xmalloc.h"
+
+enum {
+    /* Of the ports for questions of a few hundred bytes. Chosen, not measured. */
+    SMALL_HEAD_MAX = 8192,
+    SMALL_CONNECTIONS_MAX = 512,
+    /* Callers' connections: leaves descriptors for backends of the 4,100 that an instance has. */
+    CALLER_CONNECTIONS_MAX = 3000,
+    /* Of callers until a configuration gives limits. Chosen, not measured. */
+    FIRST_HEAD_MAX = 16384,
+    FIRST_BODY_MAX = 1 << 20,
+    HEAD_TIMEOUT_MS = 3000,
+    IDLE_TIMEOUT_MS = 15000,
+};
+
+static const wire_limits_t small_limits = {
+    .max_head = SMALL_HEAD_MAX,
+    .max_body = SMALL_HEAD_MAX,
+    .head_timeout_ms = HEAD_TIMEOUT_MS,
+    .idle_timeout_ms = IDLE_TIMEOUT_MS,
+    .max_connections = SMALL_CONNECTIONS_MAX,
+};
+
+static const wire_limits_t first_caller_limits = {
+    .max_head = FIRST_HEAD_MAX,
+    .max_body = FIRST_BODY_MAX,
+    .head_timeout_ms = HEAD_TIMEOUT_MS,
+    .idle_timeout_ms = IDLE_TIMEOUT_MS,
+    .max_connections = CALLER_CONNECTIONS_MAX,
+};
+
+typedef struct {
+    wire_listener_t **listener;
+    addr_t *addr;
+    wire_handler_t handler;
+    const wire_limits_t *limits;
+} port_t;
+
+static bool
+open_port(const port_t *port, uv_loop_t *loop, void *ctx, err_t *err)
+{
+    *port->listener = wire_listener_start(loop, port->addr, port->limits, port->handler, ctx, err);
+    if (*port->listener == NULL)
+        return false;
+    addr_set_port(port->addr, wire_listener_port(*port->listener));
+    return true;
+}
+
+bool
+listeners_open(listeners_t *listeners, uv_loop_t *loop, gateway_settings_t *settings,
+               const listener_handlers_t *handlers, err_t *err)
+{
+    const port_t ports[] = {
+        {&listeners->callers, &settings->callers, handlers->callers, &first_caller_limits},
+        {&listeners->readiness, &settings->readiness, handlers->readiness, &small_limits},
+        {&listeners->directory, &settings->directory, handlers->directory, &small_limits},
+        {&listeners->admin, &settings->admin, handlers->admin, &small_limits},
+    };
+    const size_t count = settings->has_admin ? ALEN(ports) : ALEN(ports) - 1;
+    for (size_t i = 0; i < count; i++) {
+        if (!open_port(&ports[i], loop, handlers->ctx, err))
+            return false;
+    }
+    return true;
+}
+
+void
+listeners_apply_limits(listeners_t *listeners, const config_limits_t *limits)
+{
+    const wire_limits_t caller_limits = {
+        .max_head = limits->max_head_bytes,
+        .max_body = limits->max_body_bytes,
+        .head_timeout_ms = limits->head_timeout_ms,
+        .idle_timeout_ms = limits->idle_timeout_ms,
+        .max_connections = CALLER_CONNECTIONS_MAX,
+    };
+    wire_listener_set_limits(listeners->callers, &caller_limits);
+}
--- a/gateway/membership/directory.c
+++ b/gateway/membership/directory.c
@@ -1,7 +1,7 @@
 #include "gateway/membership/directory.h"
 
 static bool
-may_name(const member_t *member, uint64_t now_ms)
+is_named(const member_t *member, uint64_t now_ms)
 {
     return member->heard && member->ready && !member->leaving &&
            now_ms - member->heard_ms <= member_unnamed_after_ms(member);
@@ -14,7 +14,7 @@
     size_t count = 0;
     for (size_t i = 0; i < members->count && count < DIRECTORY_MAX; i++) {
         const member_t *member = &members->items[i];
-        if (!may_name(member, now_ms))
+        if (!is_named(member, now_ms))
             continue;
         if (hall != NULL && !name_eq(&member->hall, *hall))
             continue;
--- a/gateway/membership/discovery.c
+++ b/gateway/membership/discovery.c
@@ -1,42 +1,58 @@
+#include <uv.h>
+
 #define LOG_MODULE "discovery"
 #include "base/log.h"
 #include "gateway/membership/discovery.h"
 
 enum {
-    ANNOUNCE_RETRY_MS = 2000,
-    ALONE_AGAIN_MS = 10000,
+    RETRY_MS = 2000,  /* until announcement and list have worked once. Chosen, not measured */
+    ALONE_MS = 10000, /* between the attempts of an instance that hears of no other. Chosen */
 };
 
+void
+discovery_init(discovery_t *discovery, const discovery_conf_t *conf)
+{
+    *discovery = (discovery_t){.conf = *conf};
+}
+
 static void on_instances(void *ctx, const store_answer_t *answer);
 
 static void
 list_instances(discovery_t *discovery, str_t after)
 {
-    const store_port_t *store = discovery->store;
+    const store_port_t *store = discovery->conf.store;
     store->list(store->ctx, VIEW_INSTANCES, after, on_instances, discovery);
 }
 
+static void
+add_instance(discovery_t *discovery, const store_item_t *item)
+{
+    addr_t peer;
+    name_t hall;
+    err_t err = {0};
+    if (discovery->conf.decoder->instance(item->body, &peer, &hall, &err))
+        heartbeat_add_address(discovery->conf.heartbeat, &peer, &hall);
+    else
+        LOG_WARN("instance entry not usable: instance=%.*s err=%s detail=\"%s\"",
+                 STR_ARG(item->name), err_name(err.code), err.detail);
+}
+
 static void
 on_instances(void *ctx, const store_answer_t *answer)
 {
     discovery_t *discovery = ctx;
     if (answer->outcome != STORE_OK) {
         LOG_WARN("instances not listed: detail=\"%s\"", answer->err.detail);
-        return; /* announced again after a while, and so listed again */
-    }
-    for (size_t i = 0; i < answer->item_count; i++) {
-        addr_t addr;
-        name_t hall;
-        err_t err = {0};
-        if (discovery->decoder->instance(answer->items[i].body, &addr, &hall, &err))
-            heartbeat_know(discovery->heartbeat, &addr, &hall);
+        return; /* the next tick that is due announces and lists again */
     }
+    for (size_t i = 0; i < answer->item_count; i++)
+        add_instance(discovery, &answer->items[i]);
     if (answer->more && answer->item_count > 0) {
         list_instances(discovery, answer->items[answer->item_count - 1].name);
         return;
     }
-    discovery->known = true;
-    heartbeat_send(discovery->heartbeat, uv_now(discovery->loop));
+    discovery->listed = true;
+    heartbeat_send(discovery->conf.heartbeat, uv_now(discovery->conf.loop));
 }
 
 static void
@@ -50,16 +66,15 @@
 }
 
 void
-discovery_tick(discovery_t *discovery)
+discovery_tick(discovery_t *discovery, bool alone)
 {
-    const store_port_t *store = discovery->store;
-    const uint64_t now = uv_now(discovery->loop);
-    const bool alone = discovery->heartbeat->router->living <= 1;
-    if ((discovery->known && !alone) || now < discovery->again_ms)
+    const discovery_conf_t *conf = &discovery->conf;
+    const uint64_t now_ms = uv_now(conf->loop);
+    if ((discovery->listed && !alone) || now_ms < discovery->next_at_ms)
         return;
-    char text[ADDR_TEXT_MAX];
-    discovery->again_ms = now + (discovery->known ? ALONE_AGAIN_MS : ANNOUNCE_RETRY_MS);
-    addr_format(&discovery->heartbeat->settings->peer, text);
-    store->announce(store->ctx, name_str(&discovery->heartbeat->settings->name), str_from(text),
-                    name_str(&discovery->heartbeat->settings->hall), on_announced, discovery);
+    char address[ADDR_TEXT_MAX];
+    discovery->next_at_ms = now_ms + (discovery->listed ? ALONE_MS : RETRY_MS);
+    addr_format(&conf->peer, address);
+    conf->store->announce(conf->store->ctx, conf->instance, str_from(address), conf->hall,
+                          on_announced, discovery);
 }
--- a/gateway/membership/discovery.h
+++ b/gateway/membership/discovery.h
@@ -1,6 +1,12 @@
 /*
- * Finding the other instances by the store: each announces itself there and reads of the others,
- * until that has worked once. An instance that is alone looks again from time to time.
+ * Discovery: finding the other instances through the store.
+ *
+ * Each instance announces its address there and reads those of the others, until both have worked
+ * once. An instance that hears of no other looks again from time to time. From then on heartbeats
+ * carry the addresses.
+ *
+ * Owns the calls for it. Relies on the adapter's store port and decoder, on heartbeat.h for what it
+ * finds.
  */
 #pragma once
 
@@ -11,9 +17,17 @@
     const store_port_t *store;
     const decoder_port_t *decoder;
     heartbeat_t *heartbeat;
-    bool known;        /* the list was read once */
-    uint64_t again_ms; /* loop time before which nothing is asked */
+    str_t instance; /* name of this instance */
+    str_t hall;     /* its data hall */
+    addr_t peer;    /* where its peers reach it */
+} discovery_conf_t;
+
+typedef struct {
+    discovery_conf_t conf;
+    bool listed;         /* the list was read once */
+    uint64_t next_at_ms; /* loop time before which the store is not asked */
 } discovery_t;
 
-/* Regular work. */
-void discovery_tick(discovery_t *discovery);
+void discovery_init(discovery_t *discovery, const discovery_conf_t *conf);
+/* Regular work; `alone` tells that no other instance is heard. */
+void discovery_tick(discovery_t *discovery, bool alone);
--- a/gateway/membership/heartbeat.h
+++ b/gateway/membership/heartbeat.h
@@ -1,28 +1,47 @@
-/* Heartbeats between gateway instances: what one tells of itself, and taking in another's. */
+/*
+ * Heartbeats between gateway instances: sends this instance's state, takes in the others'.
+ *
+ * Owns whether this instance is ready or leaving as its peers are told, and the pace of the
+ * heartbeats. Relies on members.h for who gets one, on heartbeat_message.h for the message, on
+ * view_relay.h to compare views, on peer/link.h for the connections.
+ */
 #pragma once
 
-#include "gateway/router.h"
+#include "gateway/membership/heartbeat_message.h"
 #include "gateway/settings.h"
-#include "gateway/state/sync.h"
+#include "gateway/state/view_relay.h"
+#include "peer/link.h"
 
 typedef struct {
     const gateway_settings_t *settings;
     members_t *members;
     const router_t *router;
-    sync_t *sync;
+    const views_t *views;
+    const store_watch_t *watch;
+    view_relay_t *relay;
     peer_hub_t *hub;
-    uint64_t incarnation;
-    unsigned round;
-    uint64_t sent_ms; /* when the last round was sent */
+    uint64_t incarnation; /* random number of this life of the process */
+} heartbeat_conf_t;
+
+typedef struct {
+    heartbeat_conf_t conf;
+    unsigned round;   /* heartbeats sent so far */
+    uint64_t sent_ms; /* time of the last one */
     bool ready;
     bool leaving;
 } heartbeat_t;
 
-/* Tells the members whose turn it is. */
+/* The instance's own member exists afterwards. */
+void heartbeat_init(heartbeat_t *heartbeat, const heartbeat_conf_t *conf, uint64_t now_ms);
+/* Sets what the peers are told, from the next heartbeat on. */
+void heartbeat_set_ready(heartbeat_t *heartbeat, bool ready, uint64_t now_ms);
+/* The instance stops for good: the peers are told at once. */
+void heartbeat_leave(heartbeat_t *heartbeat, uint64_t now_ms);
+/* Sends a heartbeat to the members whose turn it is. */
 void heartbeat_send(heartbeat_t *heartbeat, uint64_t now_ms);
+/* Sends one if the interval has passed. */
+void heartbeat_tick(heartbeat_t *heartbeat, uint64_t now_ms);
 void heartbeat_receive(heartbeat_t *heartbeat, const Iris__GatewayHeartbeat *message,
                        uint64_t now_ms);
-/* Takes in that there is an instance at that address. */
-void heartbeat_know(heartbeat_t *heartbeat, const addr_t *peer, const name_t *hall);
-/* Keeps the instance's own entry among the members up to date. */
-void heartbeat_update_self(heartbeat_t *heartbeat, uint64_t now_ms);
+/* There is an instance at that address; it gets heartbeats from now on. */
+void heartbeat_add_address(heartbeat_t *heartbeat, const addr_t *peer, const name_t *hall);
--- a/gateway/membership/members.c
+++ b/gateway/membership/members.c
@@ -5,14 +5,18 @@
 #include "gateway/membership/members.h"
 
 enum {
-    KEY_SEED = 51,
+    KEY_SEED = 51, /* any number; the same on every instance */
     ITEMS_START = 16,
-    RETRY_SILENT_MS = 1200, /* how often a silent instance is tried */
-    FOLLOWER_AGE_MAX_MS = 3500,
+    RETRY_SILENT_MS = 1200, /* how often a silent instance is tried. Chosen: three heartbeats */
+    /* A watch rests for 3 s at most; the rest is for its way (commit 4d7e314). */
+    WATCHER_AGE_MAX_MS = 3500,
 };
 
-/* Intervals without a heartbeat after which an instance counts as lost, and is not named. */
+/* Intervals without a heartbeat after which an instance counts as lost: 1.8 s in a small region.
+ * Chosen, not measured. */
 #define LOST_INTERVALS 4.5
+/* And after which it is not named to callers any more: 1.3 s in a small region. Chosen, not
+ * measured. */
 #define UNNAMED_INTERVALS 3.25
 
 member_t *
@@ -73,8 +77,14 @@
     return rank;
 }
 
+uint32_t
+members_store_age_max_ms(const members_t *members, size_t region, uint64_t now_ms)
+{
+    return WATCHER_AGE_MAX_MS + members_interval_ms(members, region, now_ms);
+}
+
 bool
-members_follow_store(const members_t *members, uint32_t age_ms, uint64_t now_ms)
+members_watch_store(const members_t *members, uint32_t age_ms, uint64_t now_ms)
 {
     for (size_t i = 0; i < members->count; i++) {
         const member_t *member = &members->items[i];
@@ -211,7 +221,7 @@
 {
     const member_t *member = &members->items[index];
     if (members->count <= MEMBERS_MESH || member->region == own_region)
-        return member_alive(member, now_ms) || now_ms - member->told_ms >= RETRY_SILENT_MS;
+        return member_alive(member, now_ms) || now_ms - member->sent_ms >= RETRY_SILENT_MS;
     size_t count;
     const size_t position = index_in_region(members, index, &count);
     const size_t turn = (size_t)round * MEMBERS_OTHER_REGION % count;
@@ -242,9 +252,3 @@
     free(members->items);
     *members = (members_t){0};
 }
-
-uint32_t
-members_store_age_max_ms(const members_t *members, size_t region, uint64_t now_ms)
-{
-    return FOLLOWER_AGE_MAX_MS + members_interval_ms(members, region, now_ms);
-}
--- /dev/null
+++ b/gateway/state/store_watch.c
@@ -0,0 +1,288 @@
+#include <stdlib.h>
+
+#include <uv.h>
+
+#define LOG_MODULE "sync"
+#include "base/log.h"
+#include "base/xmalloc.h"
+#include "gateway/state/store_watch.h"
+
+enum {
+    /* A watch rests this long at most. Shorter ones cost more calls; 1 s was ruled out since
+     * silence would still be noticed too late (commit cdee74c). */
+    WATCH_WAIT_MS = 3000,
+    WATCH_WAIT_FAILING_MS = 20, /* an answer at once: is the store back? Chosen (commit ce9d245) */
+    RETRY_MIN_MS = 200,         /* one tick; the pause grows by this much with each failure */
+    RETRY_MAX_MS = 1000,        /* chosen, not measured */
+    /* How long an outage of the whole store is remembered: the platform says that lapsed entries
+     * are back within about 2 s of its return. Chosen, not measured. */
+    OUTAGE_REMEMBERED_MS = 5000,
+    FAILURES_FAILING = 2, /* in a row, after which the store fails this instance. Chosen */
+    /* An instance that had to watch goes on for this time, so that instances do not take turns in
+     * fifths of a second (commit 35bcf57). */
+    FALLBACK_MS = 3000,
+    START_PEERS_FIRST_MS = 250, /* peers have this time to bring the views at start. Chosen */
+};
+
+void
+store_watch_init(store_watch_t *watch, const store_watch_conf_t *conf)
+{
+    *watch = (store_watch_t){.conf = *conf, .started_ms = uv_now(conf->loop)};
+    xassert(name_set(&watch->instance, conf->instance));
+    for (view_kind_t kind = 0; kind < VIEW_WATCHED; kind++)
+        watch->kinds[kind] = (kind_watch_t){.owner = watch, .kind = kind, .list_needed = true};
+}
+
+void
+store_watch_stop(store_watch_t *watch)
+{
+    watch->stopped = true;
+}
+
+void
+store_watch_read_once(store_watch_t *watch, view_kind_t kind)
+{
+    watch->kinds[kind].read_once = true;
+}
+
+static view_t *
+view_of(const kind_watch_t *kind)
+{
+    return &kind->owner->conf.views->items[kind->kind];
+}
+
+/* ---- who watches, and the store's state ---- */
+
+static bool
+is_among_watchers(const store_watch_t *watch, uint64_t now_ms)
+{
+    const size_t rank = members_rank_in_region(watch->conf.members, name_str(&watch->instance),
+                                               watch->conf.region, now_ms);
+    return rank < MEMBERS_WATCHERS;
+}
+
+static bool
+peers_watch(const store_watch_t *watch, uint64_t now_ms)
+{
+    const members_t *members = watch->conf.members;
+    const uint32_t age_max_ms = members_store_age_max_ms(members, watch->conf.region, now_ms);
+    return members_watch_store(members, age_max_ms, now_ms);
+}
+
+static bool
+should_watch(store_watch_t *watch)
+{
+    const uint64_t now_ms = uv_now(watch->conf.loop);
+    const uint64_t uptime_ms = now_ms - watch->started_ms;
+    if (watch->stopped)
+        return false;
+    if (is_among_watchers(watch, now_ms) && uptime_ms >= START_PEERS_FIRST_MS)
+        return true;
+    if (uptime_ms < 2 * START_PEERS_FIRST_MS)
+        return false;
+    if (!peers_watch(watch, now_ms))
+        watch->fallback_until_ms = now_ms + FALLBACK_MS;
+    return now_ms < watch->fallback_until_ms;
+}
+
+static void
+on_store_answered(kind_watch_t *kind)
+{
+    store_watch_t *watch = kind->owner;
+    kind->answered_ms = uv_now(watch->conf.loop);
+    if (watch->failures > 0)
+        LOG_INFO("store regained: failures=%u", watch->failures);
+    watch->failures = 0;
+}
+
+static void
+on_store_failed(kind_watch_t *kind, const store_answer_t *answer)
+{
+    store_watch_t *watch = kind->owner;
+    const uint64_t now_ms = uv_now(watch->conf.loop);
+    if (watch->failures++ == 0)
+        LOG_WARN("store lost: kind=%d outcome=%d detail=\"%s\"", kind->kind, answer->outcome,
+                 answer->err.detail);
+    /* Only if it fails everybody is the store down, and entries may have lapsed. */
+    if (store_watch_is_failing(watch) &&
+        members_store_fails_all(watch->conf.members, name_str(&watch->instance), now_ms))
+        watch->outage_until_ms = now_ms + OUTAGE_REMEMBERED_MS;
+    const uint64_t pause_ms = (uint64_t)RETRY_MIN_MS * watch->failures;
+    kind->retry_at_ms = now_ms + (pause_ms < RETRY_MAX_MS ? pause_ms : RETRY_MAX_MS);
+}
+
+/* ---- list ---- */
+
+static void
+free_pages(kind_watch_t *kind)
+{
+    for (size_t i = 0; i < kind->page_count; i++) {
+        free((char *)(uintptr_t)kind->pages[i].name.ptr);
+        free((char *)(uintptr_t)kind->pages[i].body.ptr);
+    }
+    free(kind->pages);
+    kind->pages = NULL;
+    kind->page_count = 0;
+}
+
+/* Copies the answer's items behind those of the earlier pages. */
+static void
+keep_page(kind_watch_t *kind, const store_answer_t *answer)
+{
+    const size_t total = kind->page_count + answer->item_count;
+    kind->pages = xrealloc(kind->pages, (total + 1) * sizeof(*kind->pages));
+    for (size_t i = 0; i < answer->item_count; i++) {
+        const store_item_t *item = &answer->items[i];
+        kind->pages[kind->page_count++] = (store_item_t){
+            .name = {xmemdup0(item->name.ptr, item->name.len), item->name.len},
+            .revision = item->revision,
+            .body = {xmemdup0(item->body.ptr, item->body.len), item->body.len},
+        };
+    }
+}
+
+static void on_list(void *ctx, const store_answer_t *answer);
+
+static void
+list_after(kind_watch_t *kind, str_t after)
+{
+    const store_port_t *store = kind->owner->conf.store;
+    kind->state = WATCH_LISTING;
+    store->list(store->ctx, kind->kind, after, on_list, kind);
+}
+
+static void
+on_list(void *ctx, const store_answer_t *answer)
+{
+    kind_watch_t *kind = ctx;
+    store_watch_t *watch = kind->owner;
+    kind->state = WATCH_IDLE;
+    if (answer->outcome != STORE_OK) {
+        on_store_failed(kind, answer);
+        free_pages(kind);
+        return;
+    }
+    on_store_answered(kind);
+    if (kind->page_count == 0)
+        kind->list_at = answer->at;
+    keep_page(kind, answer);
+    if (answer->more && answer->item_count > 0) {
+        list_after(kind, kind->pages[kind->page_count - 1].name);
+        return;
+    }
+    const view_result_t result =
+        view_replace(view_of(kind), kind->pages, kind->page_count, kind->list_at);
+    free_pages(kind);
+    kind->list_needed = false;
+    kind->read_once = false;
+    if (result == VIEW_CHANGED)
+        views_changed(watch->conf.views, kind->kind, "list");
+    store_watch_tick(watch);
+}
+
+/* ---- watch ---- */
+
+static void
+apply_delta(kind_watch_t *kind, const store_answer_t *answer)
+{
+    const store_watch_t *watch = kind->owner;
+    view_t *view = view_of(kind);
+    const view_delta_t delta = {
+        .kind = kind->kind,
+        .items = answer->items,
+        .count = answer->item_count,
+        .from = kind->watched_from,
+        .at = answer->at,
+        .base_digest = view->digest,
+    };
+    if (view_apply(view, delta.items, delta.count, delta.from, delta.at) != VIEW_CHANGED)
+        return;
+    watch->conf.on_delta(watch->conf.ctx, &delta);
+    views_changed(watch->conf.views, kind->kind, "watch");
+}
+
+/* The next watch starts at the next tick, so that changes in quick succession come together. */
+static void
+on_watch(void *ctx, const store_answer_t *answer)
+{
+    kind_watch_t *kind = ctx;
+    kind->state = WATCH_IDLE;
+    if (answer->outcome == STORE_HISTORY_GONE) {
+        LOG_INFO("store forgot its history: kind=%d from=%llu", kind->kind,
+                 (unsigned long long)kind->watched_from);
+        kind->list_needed = true;
+        on_store_answered(kind);
+        store_watch_tick(kind->owner);
+        return;
+    }
+    if (answer->outcome != STORE_OK) {
+        on_store_failed(kind, answer);
+        return;
+    }
+    on_store_answered(kind);
+    apply_delta(kind, answer);
+}
+
+static void
+call_store(kind_watch_t *kind)
+{
+    const store_watch_t *watch = kind->owner;
+    const store_port_t *store = watch->conf.store;
+    if (kind->list_needed || kind->read_once || !view_of(kind)->known) {
+        list_after(kind, STR(""));
+        return;
+    }
+    kind->state = WATCH_WATCHING;
+    kind->watched_from = view_of(kind)->at;
+    const uint32_t wait_ms = watch->failures > 0 ? WATCH_WAIT_FAILING_MS : WATCH_WAIT_MS;
+    store->watch(store->ctx, kind->kind, kind->watched_from, wait_ms, on_watch, kind);
+}
+
+void
+store_watch_tick(store_watch_t *watch)
+{
+    const uint64_t now_ms = uv_now(watch->conf.loop);
+    const bool watching = should_watch(watch);
+    if (watching != watch->watching)
+        LOG_INFO("%s the store", watching ? "watching" : "no longer watching");
+    watch->watching = watching;
+    for (view_kind_t i = 0; i < VIEW_WATCHED; i++) {
+        kind_watch_t *kind = &watch->kinds[i];
+        /* A started instance reads each kind once, whoever watches. */
+        const bool once = kind->read_once || !view_of(kind)->known;
+        const bool wanted = watching || (once && !watch->stopped);
+        if (wanted && kind->state == WATCH_IDLE && now_ms >= kind->retry_at_ms)
+            call_store(kind);
+        if (watch->failures > 0)
+            break; /* one call at a time tells when the store is back */
+    }
+}
+
+uint32_t
+store_watch_age_ms(const store_watch_t *watch)
+{
+    if (!watch->watching || watch->stopped)
+        return STORE_AGE_NONE;
+    const uint64_t now_ms = uv_now(watch->conf.loop);
+    uint64_t age_ms = 0;
+    for (view_kind_t i = 0; i < VIEW_WATCHED; i++) {
+        const kind_watch_t *kind = &watch->kinds[i];
+        if (kind->answered_ms == 0)
+            return STORE_AGE_NONE;
+        if (now_ms - kind->answered_ms > age_ms)
+            age_ms = now_ms - kind->answered_ms;
+    }
+    return age_ms < STORE_AGE_NONE ? (uint32_t)age_ms : STORE_AGE_NONE - 1;
+}
+
+bool
+store_watch_is_failing(const store_watch_t *watch)
+{
+    return watch->failures >= FAILURES_FAILING;
+}
+
+bool
+store_watch_had_outage(const store_watch_t *watch)
+{
+    return uv_now(watch->conf.loop) < watch->outage_until_ms;
+}
--- /dev/null
+++ b/gateway/state/store_watch.h
@@ -0,0 +1,84 @@
+/*
+ * Store watch: keeps the views up to date from the store, by list and watch.
+ *
+ * The first two instances of each region that the store serves watch it; what they learn they pass
+ * on to the others (view_relay.h). One alone could be refused in silence, which is noticed only
+ * when its watch runs out after 3 s. An instance that hears of no peer with a recent answer from
+ * the store watches it itself, so that no instance depends on another. A started instance lists
+ * each kind once, whoever watches. docs/design/platform.md. Also tells whether the store fails this
+ * instance, and whether it was down for all of them.
+ *
+ * Owns the calls to the store and what is learned of its state. Relies on views.h for what it
+ * fills, on membership/members.h for the other instances, on the adapter's store port.
+ */
+#pragma once
+
+#include "gateway/membership/members.h"
+#include "gateway/state/views.h"
+
+/* Changes of one view, as the store told them. */
+typedef struct {
+    view_kind_t kind;
+    const store_item_t *items;
+    size_t count;
+    uint64_t from;        /* the changes come after this revision */
+    uint64_t at;          /* and lead up to this one */
+    uint64_t base_digest; /* of the view before them */
+} view_delta_t;
+
+typedef struct {
+    uv_loop_t *loop;
+    const store_port_t *store;
+    const members_t *members;
+    views_t *views;
+    str_t instance; /* name of this instance */
+    size_t region;
+    /* A watch brought changes, which the view holds already. */
+    void (*on_delta)(void *ctx, const view_delta_t *delta);
+    void *ctx;
+} store_watch_conf_t;
+
+typedef enum { WATCH_IDLE, WATCH_LISTING, WATCH_WATCHING } watch_state_t;
+
+typedef struct store_watch store_watch_t;
+
+/* List and watch of one kind. */
+typedef struct {
+    store_watch_t *owner;
+    view_kind_t kind;
+    watch_state_t state;
+    bool list_needed;      /* the next call is a list: nothing is known, or history is gone */
+    bool read_once;        /* list once even if this instance does not watch the store */
+    uint64_t retry_at_ms;  /* loop time before which the store is not called */
+    uint64_t answered_ms;  /* loop time of its last answer, 0 before the first */
+    uint64_t watched_from; /* revision that the running watch started from */
+    uint64_t list_at;      /* revision of the list under way */
+    store_item_t *pages;   /* what came of it so far; owned */
+    size_t page_count;
+} kind_watch_t;
+
+struct store_watch {
+    store_watch_conf_t conf;
+    name_t instance;
+    kind_watch_t kinds[VIEW_WATCHED];
+    unsigned failures;          /* calls in a row */
+    uint64_t outage_until_ms;   /* until then the last outage of the whole store is remembered */
+    uint64_t fallback_until_ms; /* until then it watches because no peer seemed to */
+    uint64_t started_ms;
+    bool watching;
+    bool stopped;
+};
+
+void store_watch_init(store_watch_t *watch, const store_watch_conf_t *conf);
+/* Regular work, several times a second. */
+void store_watch_tick(store_watch_t *watch);
+/* Lists a kind once, whether or not this instance watches the store. */
+void store_watch_read_once(store_watch_t *watch, view_kind_t kind);
+/* Milliseconds since the store last answered, STORE_AGE_NONE if this instance does not watch it. */
+uint32_t store_watch_age_ms(const store_watch_t *watch);
+/* True if the store fails this instance now. */
+bool store_watch_is_failing(const store_watch_t *watch);
+/* True if the store was down for all instances, as far as this one knows, in the last seconds. */
+bool store_watch_had_outage(const store_watch_t *watch);
+/* No further calls to the store. */
+void store_watch_stop(store_watch_t *watch);
--- /dev/null
+++ b/gateway/state/views.h
@@ -0,0 +1,19 @@
+/*
+ * The views of all watched kinds, and whom to tell when one has changed.
+ *
+ * Owns the views. Filled by store_watch.h (from the store) and by view_relay.h (from peers); the
+ * callback belongs to the instance, which applies the change.
+ */
+#pragma once
+
+#include "gateway/state/view.h"
+
+typedef struct {
+    view_t items[VIEW_WATCHED]; /* by view_kind_t */
+    /* A view has changed. */
+    void (*on_change)(void *ctx, view_kind_t kind);
+    void *ctx;
+} views_t;
+
+/* Logs the change with its source ("list", "watch" or "peer") and calls on_change. */
+void views_changed(views_t *views, view_kind_t kind, const char *source);
--- a/test/test_gateway.c
+++ b/test/test_gateway.c
@@ -760,9 +760,9 @@
     members.items[1].heard_ms = 14000;
     ck_assert_uint_eq(members_rank_in_region(&members, STR("a-2"), 0, 14000), 0);
     members.items[1].store_age_ms = 500;
-    ck_assert(members_follow_store(&members, 3000, 14000));
-    ck_assert(!members_follow_store(&members, 400, 14000));
-    ck_assert(!members_follow_store(&members, 1800, 15500));
+    ck_assert(members_watch_store(&members, 3000, 14000));
+    ck_assert(!members_watch_store(&members, 400, 14000));
+    ck_assert(!members_watch_store(&members, 1800, 15500));
     members_free(&members);
 }
 END_TEST
@@ -825,9 +825,9 @@
     add_member(&members, "a-2", "a1", 0, 2);
     add_member(&members, "a-3", "a1", 0, 3);
     size_t followers = 0;
-    followers += members_rank_in_region(&members, STR("a-1"), 0, 10100) < MEMBERS_FOLLOWERS;
-    followers += members_rank_in_region(&members, STR("a-2"), 0, 10100) < MEMBERS_FOLLOWERS;
-    followers += members_rank_in_region(&members, STR("a-3"), 0, 10100) < MEMBERS_FOLLOWERS;
+    followers += members_rank_in_region(&members, STR("a-1"), 0, 10100) < MEMBERS_WATCHERS;
+    followers += members_rank_in_region(&members, STR("a-2"), 0, 10100) < MEMBERS_WATCHERS;
+    followers += members_rank_in_region(&members, STR("a-3"), 0, 10100) < MEMBERS_WATCHERS;
     ck_assert_uint_eq(followers, 2);
     members_free(&members);
 }
@@ -842,14 +842,14 @@
     member_t *follower = add_member(&members, "g-0", "a1", 0, 1);
     follower->store_age_ms = 3400;
     const uint64_t late = 10000 + HEARTBEAT_MIN_MS;
-    ck_assert(members_follow_store(&members, members_store_age_max_ms(&members, 0, late), late));
+    ck_assert(members_watch_store(&members, members_store_age_max_ms(&members, 0, late), late));
     ck_assert(
-        !members_follow_store(&members, members_store_age_max_ms(&members, 0, late), late + 200));
+        !members_watch_store(&members, members_store_age_max_ms(&members, 0, late), late + 200));
     for (unsigned i = 1; i < A_REGION; i++)
         add_member(&members, "g-n", "a1", 0, (uint16_t)(i + 1));
     members.items[0].interval_ms = HEARTBEAT_MAX_MS;
     const uint64_t later = 10000 + HEARTBEAT_MAX_MS;
-    ck_assert(members_follow_store(&members, members_store_age_max_ms(&members, 0, later), later));
+    ck_assert(members_watch_store(&members, members_store_age_max_ms(&members, 0, later), later));
     members_free(&members);
 }
 END_TEST
