--- a/standin/upstream.c
+++ b/standin/backend.c
@@ -3,20 +3,20 @@
 #include <strings.h>
 
 #include "base/xmalloc.h"
-#include "standin/upstream.h"
+#include "standin/backend.h"
 
 enum { BACKLOG = 64, INPUT_SIZE = 65536, HEAD_END_LEN = 4 };
 
 struct standin_conn {
     uv_tcp_t tcp;
-    standin_upstream_t *upstream;
+    standin_backend_t *backend;
     char input[INPUT_SIZE];
     size_t len;
     bool closing;
     standin_conn_t *next;
 };
 
-struct standin_upstream {
+struct standin_backend {
     uv_loop_t *loop;
     uv_tcp_t listener;
     addr_t addr;
@@ -36,7 +36,7 @@
 forget(standin_conn_t *conn)
 {
     conn->closing = true;
-    standin_conn_t **slot = &conn->upstream->conns;
+    standin_conn_t **slot = &conn->backend->conns;
     while (*slot != conn)
         slot = &(*slot)->next;
     *slot = conn->next;
@@ -124,7 +124,7 @@
     (void)buf;
     standin_conn_t *conn = stream->data;
     if (n < 0) {
-        conn->upstream->ended++;
+        conn->backend->ended++;
         standin_close(conn);
         return;
     }
@@ -134,7 +134,7 @@
         char *text = xmemdup0(conn->input, used);
         memmove(conn->input, conn->input + used, conn->len - used);
         conn->len -= used;
-        conn->upstream->script(conn->upstream->ctx, conn, (str_t){text, used});
+        conn->backend->script(conn->backend->ctx, conn, (str_t){text, used});
         free(text);
     }
 }
@@ -142,46 +142,46 @@
 static void
 on_accept(uv_stream_t *listener, int status)
 {
-    standin_upstream_t *upstream = listener->data;
+    standin_backend_t *backend = listener->data;
     if (status != 0)
         return;
     standin_conn_t *conn = xcalloc(1, sizeof(*conn));
-    conn->upstream = upstream;
-    uv_tcp_init(upstream->loop, &conn->tcp);
+    conn->backend = backend;
+    uv_tcp_init(backend->loop, &conn->tcp);
     conn->tcp.data = conn;
-    conn->next = upstream->conns;
-    upstream->conns = conn;
+    conn->next = backend->conns;
+    backend->conns = conn;
     uv_accept(listener, (uv_stream_t *)&conn->tcp);
     uv_tcp_nodelay(&conn->tcp, 1);
     uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read);
 }
 
-standin_upstream_t *
-standin_upstream_start(uv_loop_t *loop, const addr_t *addr, standin_script_t script, void *ctx)
+standin_backend_t *
+standin_backend_start(uv_loop_t *loop, const addr_t *addr, standin_script_t script, void *ctx)
 {
-    standin_upstream_t *upstream = xcalloc(1, sizeof(*upstream));
-    upstream->loop = loop;
-    upstream->script = script;
-    upstream->ctx = ctx;
-    uv_tcp_init(loop, &upstream->listener);
-    upstream->listener.data = upstream;
-    int rc = uv_tcp_bind(&upstream->listener, &addr->sa, 0);
+    standin_backend_t *backend = xcalloc(1, sizeof(*backend));
+    backend->loop = loop;
+    backend->script = script;
+    backend->ctx = ctx;
+    uv_tcp_init(loop, &backend->listener);
+    backend->listener.data = backend;
+    int rc = uv_tcp_bind(&backend->listener, &addr->sa, 0);
     if (rc == 0)
-        rc = uv_listen((uv_stream_t *)&upstream->listener, BACKLOG, on_accept);
+        rc = uv_listen((uv_stream_t *)&backend->listener, BACKLOG, on_accept);
     xassert(rc == 0);
-    int len = sizeof(upstream->addr);
-    uv_tcp_getsockname(&upstream->listener, &upstream->addr.sa, &len);
-    return upstream;
+    int len = sizeof(backend->addr);
+    uv_tcp_getsockname(&backend->listener, &backend->addr.sa, &len);
+    return backend;
 }
 
 addr_t
-standin_upstream_addr(const standin_upstream_t *upstream)
+standin_backend_addr(const standin_backend_t *backend)
 {
-    return upstream->addr;
+    return backend->addr;
 }
 
 size_t
-standin_upstream_ended(const standin_upstream_t *upstream)
+standin_backend_ended(const standin_backend_t *backend)
 {
-    return upstream->ended;
+    return backend->ended;
 }
--- a/standin/upstream.h
+++ b/standin/backend.h
@@ -9,17 +9,17 @@
 #include "base/addr.h"
 #include "base/str.h"
 
-typedef struct standin_upstream standin_upstream_t;
+typedef struct standin_backend standin_backend_t;
 typedef struct standin_conn standin_conn_t;
 
 /* A whole request has arrived; `text` is its head and body. */
 typedef void (*standin_script_t)(void *ctx, standin_conn_t *conn, str_t text);
 
-standin_upstream_t *standin_upstream_start(uv_loop_t *loop, const addr_t *addr,
-                                           standin_script_t script, void *ctx);
-addr_t standin_upstream_addr(const standin_upstream_t *upstream);
+standin_backend_t *standin_backend_start(uv_loop_t *loop, const addr_t *addr,
+                                         standin_script_t script, void *ctx);
+addr_t standin_backend_addr(const standin_backend_t *backend);
 /* Connections that the other side has closed. */
-size_t standin_upstream_ended(const standin_upstream_t *upstream);
+size_t standin_backend_ended(const standin_backend_t *backend);
 
 void standin_send(standin_conn_t *conn, str_t bytes);
 /* Closes the connection after what was sent. */
--- a/standin/fake_site.c
+++ b/standin/fake_site.c
@@ -1,6 +1,6 @@
 /*
- * fake-site: the users' platform in one process, for the demo: its store, upstreams with slots and
- * a memory of objects, and callers. Prints a report and ends.
+ * fake-site: the users' platform in one process, for the demo: its store, backend servers with
+ * slots and a memory of objects, and callers. Prints a report and ends.
  */
 #include <getopt.h>
 #include <signal.h>
@@ -14,7 +14,7 @@
 #include "base/rng.h"
 #include "base/xmalloc.h"
 #include "standin/store.h"
-#include "standin/upstream.h"
+#include "standin/backend.h"
 #include "wire/fetch.h"
 
 enum {
@@ -45,7 +45,7 @@
 
 typedef struct backend {
     fake_t *fake;
-    standin_upstream_t *standin;
+    standin_backend_t *standin;
     char id[32];
     const char *zone;
     unsigned running;
@@ -71,7 +71,7 @@
     size_t backend_count;
     wire_pool_t *gateways[CALLERS_MAX];
     size_t gateway_count;
-    unsigned scale; /* times the upstreams of the shape */
+    unsigned scale; /* times the backend servers of the shape */
     double per_s;
     double due;
     uint64_t start_ms;
@@ -185,8 +185,8 @@
             backend->fake = fake;
             backend->zone = zones[zone];
             snprintf(backend->id, sizeof(backend->id), "%s-%u", zones[zone], i);
-            backend->standin = standin_upstream_start(fake->loop, any, on_request, backend);
-            const addr_t addr = standin_upstream_addr(backend->standin);
+            backend->standin = standin_backend_start(fake->loop, any, on_request, backend);
+            const addr_t addr = standin_backend_addr(backend->standin);
             standin_store_put(
                 fake->store, "servers", backend->id,
                 json_pack("{s:s, s:{s:s, s:s, s:s, s:i}}", "address", addr_format(&addr, text),
@@ -307,7 +307,7 @@
 usage(FILE *out)
 {
     fputs("usage: fake-site [-n GATEWAYS] [-r REQUESTS/S] [-d SECONDS] [-u TIMES]\n"
-          "  -u: so many times the 24 upstreams\n"
+          "  -u: so many times the 24 backend servers\n"
           "  the store listens on 127.0.0.1:18140, gateway I is expected at 127.0.1.I:18141\n",
           out);
 }
--- a/test/gateway/site.c
+++ b/test/gateway/site.c
@@ -36,17 +36,17 @@
 }
 
 static void
-on_upstream_request(void *ctx, standin_conn_t *conn, str_t text)
+on_backend_request(void *ctx, standin_conn_t *conn, str_t text)
 {
-    upstream_t *upstream = ctx;
+    scripted_t *backend = ctx;
     const str_t id = standin_field(text, "Attempt-Id");
     char other[64];
-    upstream->wrong_instance |=
-        !str_eq(standin_field(text, "Expect-Instance"), str_from(upstream->id));
-    str_to_u64(standin_field(text, "Deadline-Ms"), &upstream->last_deadline);
-    if (upstream->behaviour != DOES_REFUSE && upstream->behaviour != DOES_MISDIRECT)
-        upstream->runs++;
-    switch (upstream->behaviour) {
+    backend->wrong_instance |=
+        !str_eq(standin_field(text, "Expect-Instance"), str_from(backend->id));
+    str_to_u64(standin_field(text, "Deadline-Ms"), &backend->last_deadline);
+    if (backend->behaviour != DOES_REFUSE && backend->behaviour != DOES_MISDIRECT)
+        backend->runs++;
+    switch (backend->behaviour) {
     case DOES_ANSWER:
         answer(conn, id, "Response-Signature: s\r\nContent-Length: 5\r\n\r\nhello");
         break;
@@ -105,12 +105,12 @@
 }
 
 void
-put_upstream(site_t *site, upstream_t *upstream, const char *state)
+put_backend(site_t *site, scripted_t *backend, const char *state)
 {
     char text[ADDR_TEXT_MAX];
-    const addr_t addr = standin_upstream_addr(upstream->standin);
+    const addr_t addr = standin_backend_addr(backend->standin);
     standin_store_put(
-        site->store, "servers", upstream->id,
+        site->store, "servers", backend->id,
         json_pack("{s:s, s:{s:s, s:s, s:s, s:i}}", "address", addr_format(&addr, text), "info",
                   "service", "svc", "version", "v1", "zone", "a1", "capacity", 4),
         json_pack("{s:s, s:i, s:i}", "state", state, "callSeq", 1, "coldRemainingMs", 0));
@@ -247,7 +247,7 @@
 }
 
 site_t *
-new_site(size_t upstreams)
+new_site(size_t backends)
 {
     site_t *site = xcalloc(1, sizeof(*site));
     uv_loop_init(&site->loop);
@@ -256,13 +256,13 @@
     ck_assert(addr_parse(STR("127.0.0.1:0"), &site->any));
     site->store = standin_store_start(&site->loop, &site->any);
     put_config(site, NULL);
-    for (size_t i = 0; i < upstreams; i++) {
-        upstream_t *upstream = &site->upstreams[i];
-        upstream->site = site;
-        snprintf(upstream->id, sizeof(upstream->id), "i-%zu", i);
-        upstream->standin =
-            standin_upstream_start(&site->loop, &site->any, on_upstream_request, upstream);
-        put_upstream(site, upstream, "ready");
+    for (size_t i = 0; i < backends; i++) {
+        scripted_t *backend = &site->backends[i];
+        backend->site = site;
+        snprintf(backend->id, sizeof(backend->id), "i-%zu", i);
+        backend->standin =
+            standin_backend_start(&site->loop, &site->any, on_backend_request, backend);
+        put_backend(site, backend, "ready");
     }
     const addr_t store = standin_store_addr(site->store);
     site->platform_store = platform_store_new(&site->loop, &store);
@@ -278,14 +278,14 @@
 }
 
 site_t *
-new_ready_site(size_t upstreams)
+new_ready_site(size_t backends)
 {
-    site_t *site = new_site(upstreams);
+    site_t *site = new_site(backends);
     use_gateway(site, start_gateway(site, "g-1", &site->store_port, NULL));
     while (!is_ready(site))
         uv_run(&site->loop, UV_RUN_ONCE);
-    for (size_t i = 0; i < upstreams; i++)
-        site->upstreams[i].runs = 0;
+    for (size_t i = 0; i < backends; i++)
+        site->backends[i].runs = 0;
     return site;
 }
 
@@ -293,24 +293,24 @@
 all_runs(const site_t *site)
 {
     size_t runs = 0;
-    for (size_t i = 0; i < UPSTREAMS_MAX; i++)
-        runs += site->upstreams[i].runs;
+    for (size_t i = 0; i < BACKENDS_MAX; i++)
+        runs += site->backends[i].runs;
     return runs;
 }
 
 void
 all_do(site_t *site, behaviour_t behaviour)
 {
-    for (size_t i = 0; i < UPSTREAMS_MAX; i++)
-        site->upstreams[i].behaviour = behaviour;
+    for (size_t i = 0; i < BACKENDS_MAX; i++)
+        site->backends[i].behaviour = behaviour;
 }
 
-upstream_t *
-first_upstream(site_t *site, const char *path)
+scripted_t *
+first_backend(site_t *site, const char *path)
 {
-    const size_t before[] = {site->upstreams[0].runs, site->upstreams[1].runs};
+    const size_t before[] = {site->backends[0].runs, site->backends[1].runs};
     ask(site, "GET", path);
-    upstream_t *first = &site->upstreams[site->upstreams[0].runs > before[0] ? 0 : 1];
+    scripted_t *first = &site->backends[site->backends[0].runs > before[0] ? 0 : 1];
     first->runs--;
     return first;
 }
--- a/test/gateway/site.h
+++ b/test/gateway/site.h
@@ -9,10 +9,10 @@
 #include "gateway/gateway.h"
 #include "platform/store.h"
 #include "standin/store.h"
-#include "standin/upstream.h"
+#include "standin/backend.h"
 #include "wire/client.h"
 
-enum { PATIENCE_MS = 8000, UPSTREAMS_MAX = 3, TIMEOUT_MS = 900 };
+enum { PATIENCE_MS = 8000, BACKENDS_MAX = 3, TIMEOUT_MS = 900 };
 
 typedef struct site site_t;
 
@@ -35,13 +35,13 @@
 
 typedef struct {
     site_t *site;
-    standin_upstream_t *standin;
+    standin_backend_t *standin;
     char id[16];
     behaviour_t behaviour;
     size_t runs;
     bool wrong_instance; /* got a request that expects another */
     uint64_t last_deadline;
-} upstream_t;
+} scripted_t;
 
 typedef struct {
     site_t *site;
@@ -65,7 +65,7 @@
     gateway_ports_t ports;
     gateway_t *gateway;
     wire_pool_t *callers;
-    upstream_t upstreams[UPSTREAMS_MAX];
+    scripted_t backends[BACKENDS_MAX];
     unsigned version;
     unsigned extra_routes;
 };
@@ -84,7 +84,7 @@
 /* Timer of RUN_UNTIL. */
 void on_guard(uv_timer_t *timer);
 /* Writes the entry of a backend server into the store. */
-void put_upstream(site_t *site, upstream_t *upstream, const char *state);
+void put_backend(site_t *site, scripted_t *backend, const char *state);
 /* Writes a new version of the configuration; `extra_prefix` may be NULL. */
 void put_config(site_t *site, const char *extra_prefix);
 /* A gateway on that store; `seed` may be NULL. */
@@ -96,13 +96,13 @@
 reply_t ask(site_t *site, const char *method, const char *path);
 bool is_ready(site_t *site);
 /* A store and that many backend servers, without a gateway. */
-site_t *new_site(size_t upstreams);
+site_t *new_site(size_t backends);
 /* Requests go to this gateway from now on. */
 void use_gateway(site_t *site, gateway_t *gateway);
 /* The same with a gateway that serves requests. */
-site_t *new_ready_site(size_t upstreams);
+site_t *new_ready_site(size_t backends);
 /* Requests run by all backend servers. */
 size_t all_runs(const site_t *site);
 void all_do(site_t *site, behaviour_t behaviour);
-/* The upstream that gets the object first, made known by a request. */
-upstream_t *first_upstream(site_t *site, const char *path);
+/* The backend that gets the object first, made known by a request. */
+scripted_t *first_backend(site_t *site, const char *path);
--- a/test/gateway/test_choice.c
+++ b/test/gateway/test_choice.c
@@ -105,7 +105,7 @@
 
 START_TEST(choice_keeps_to_the_replicas)
 {
-    /* Objects are not spread over more upstreams when these are busy: they would run cold there. */
+    /* Objects are not spread over more backends when these are busy: they would run cold there. */
     choice_fixture_t *fixture = new_choice();
     static const char *const ids[] = {"u1", "u2", "u3", "u4", "u5", "u6"};
     for (size_t i = 0; i < ALEN(ids); i++)
@@ -155,7 +155,7 @@
     ck_assert_int_eq(reason, CHOICE_ELSEWHERE);
     fixture->input.may_spill = false;
     ck_assert_ptr_null(choice_pick(&fixture->input, &reason));
-    /* Without any usable upstream in the region, another one serves all the same. */
+    /* Without any usable backend in the region, another one serves all the same. */
     fixture->backends.items[0]->hall_closed = true;
     ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), far);
     free_choice(fixture);
@@ -240,7 +240,7 @@
         health_record(&backend->health, true, now_ms);
 }
 
-START_TEST(choice_keeps_impaired_upstreams_if_the_others_have_no_room)
+START_TEST(choice_keeps_avoided_backends_if_the_others_have_no_room)
 {
     choice_fixture_t *fixture = new_choice();
     static const char *const ids[] = {"u1", "u2", "u3", "u4"};
@@ -287,7 +287,7 @@
 }
 END_TEST
 
-START_TEST(choice_paces_cold_upstreams)
+START_TEST(choice_paces_cold_backends)
 {
     choice_fixture_t *fixture = new_choice();
     backend_t *cold = add_backend(fixture, "u1", "a1");
@@ -322,9 +322,9 @@
     tcase_add_test(tests, choice_keeps_large_answers_near);
     tcase_add_test(tests, choice_sends_large_answers_away_as_planned);
     tcase_add_test(tests, choice_respects_homes_and_what_was_tried);
-    tcase_add_test(tests, choice_keeps_impaired_upstreams_if_the_others_have_no_room);
+    tcase_add_test(tests, choice_keeps_avoided_backends_if_the_others_have_no_room);
     tcase_add_test(tests, choice_avoids_what_fails);
-    tcase_add_test(tests, choice_paces_cold_upstreams);
+    tcase_add_test(tests, choice_paces_cold_backends);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_endpoints.c
+++ b/test/gateway/test_endpoints.c
@@ -58,7 +58,7 @@
     static page_t page;
     site_t *site = new_ready_site(3);
     ask(site, "GET", "/safe/x");
-    put_upstream(site, &site->upstreams[0], "draining");
+    put_backend(site, &site->backends[0], "draining");
     do {
         read_page(site, "/metrics", &page);
     } while (strstr(page.text, "irisstall_upstreams_in_state{state=\"leaving\"} 1\n") == NULL);
@@ -84,18 +84,18 @@
     const reply_t named =
         ask_at(site, &settings->directory, "/v1/resolve?name=h.example&region=a&zone=a1");
     ck_assert_int_eq(named.status, 200);
-    site->upstreams[0].behaviour = DOES_HOLD;
+    site->backends[0].behaviour = DOES_HOLD;
     reply_t reply;
     call(site, &reply,
          "POST /once/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: q\r\nDeadline-Ms: 700\r\n\r\n");
-    RUN_UNTIL(site, site->upstreams[0].runs == 1);
+    RUN_UNTIL(site, site->backends[0].runs == 1);
     gateway_stop(site->gateway);
     ck_assert_int_eq(ask_at(site, &settings->readiness, "/v1/ready").status, 503);
     ck_assert_int_eq(
         ask_at(site, &settings->directory, "/v1/resolve?name=h.example&region=a&zone=a1").status,
         503);
     /* A request on a new connection is still served. */
-    site->upstreams[0].behaviour = DOES_ANSWER;
+    site->backends[0].behaviour = DOES_ANSWER;
     ck_assert_int_eq(ask(site, "GET", "/safe/y").status, 200);
     RUN_UNTIL(site, reply.done);
     ck_assert_int_eq(reply.status, 504);
--- a/test/gateway/test_health.c
+++ b/test/gateway/test_health.c
@@ -12,14 +12,14 @@
     ck_assert(!health_is_avoided(&rare, 25000));
     health_record(&rare, true, 26000);
     ck_assert(health_is_avoided(&rare, 26000));
-    /* Many outcomes, 2 of 5 failed: never impaired, however they fall. */
+    /* Many outcomes, 2 of 5 failed: never avoided, however they fall. */
     rng_t rng = {.state = 7};
     health_t many = {0};
     for (uint64_t at = 50; at < 60000; at += 50) {
         health_record(&many, rng_unit(&rng) < 0.4, at);
         ck_assert(!health_is_avoided(&many, at));
     }
-    /* Nearly all fail: impaired within the averaging time. */
+    /* Nearly all fail: avoided within the averaging time. */
     for (uint64_t at = 60000; at < 62500; at += 50)
         health_record(&many, rng_unit(&rng) < 0.95, at);
     ck_assert(health_is_avoided(&many, 62500));
--- a/test/gateway/test_members.c
+++ b/test/gateway/test_members.c
@@ -92,30 +92,30 @@
 }
 END_TEST
 
-START_TEST(no_region_depends_on_one_follower)
+START_TEST(no_region_depends_on_one_watcher)
 {
-    /* Turned away in silence, a follower is not known to be for seconds: another follows too. */
+    /* Turned away in silence, a watcher is not known to be for seconds: another watches too. */
     members_t members = {0};
     add_member(&members, "a-1", "a1", 0, 1);
     add_member(&members, "a-2", "a1", 0, 2);
     add_member(&members, "a-3", "a1", 0, 3);
-    size_t followers = 0;
-    followers += members_rank_in_region(&members, STR("a-1"), 0, 10100) < MEMBERS_WATCHERS;
-    followers += members_rank_in_region(&members, STR("a-2"), 0, 10100) < MEMBERS_WATCHERS;
-    followers += members_rank_in_region(&members, STR("a-3"), 0, 10100) < MEMBERS_WATCHERS;
-    ck_assert_uint_eq(followers, 2);
+    size_t watchers = 0;
+    watchers += members_rank_in_region(&members, STR("a-1"), 0, 10100) < MEMBERS_WATCHERS;
+    watchers += members_rank_in_region(&members, STR("a-2"), 0, 10100) < MEMBERS_WATCHERS;
+    watchers += members_rank_in_region(&members, STR("a-3"), 0, 10100) < MEMBERS_WATCHERS;
+    ck_assert_uint_eq(watchers, 2);
     members_free(&members);
 }
 END_TEST
 
 START_TEST(rare_heartbeats_do_not_make_the_store_look_lost)
 {
-    /* In a large region heartbeats come every 1.2 s: what the follower tells is older when read.
-     * Else all instances of the region follow the store, and each sends on what it learns. */
+    /* In a large region heartbeats come every 1.2 s: what the watcher tells is older when read.
+     * Else all instances of the region watch the store, and each sends on what it learns. */
     enum { A_REGION = 100 };
     members_t members = {0};
-    member_t *follower = add_member(&members, "g-0", "a1", 0, 1);
-    follower->store_age_ms = 3400;
+    member_t *watcher = add_member(&members, "g-0", "a1", 0, 1);
+    watcher->store_age_ms = 3400;
     const uint64_t late = 10000 + HEARTBEAT_MIN_MS;
     ck_assert(members_watch_store(&members, members_store_age_max_ms(&members, 0, late), late));
     ck_assert(
@@ -129,7 +129,7 @@
 }
 END_TEST
 
-START_TEST(the_next_instance_follows_when_the_store_fails_the_first)
+START_TEST(the_next_instance_watches_when_the_store_fails_the_first)
 {
     members_t members = {0};
     add_member(&members, "a-1", "a1", 0, 1);
@@ -178,9 +178,9 @@
     tcase_add_test(tests, members_judge_by_silence);
     tcase_add_test(tests, a_large_fleet_talks_little_between_regions);
     tcase_add_test(tests, another_regions_demand_is_as_it_says);
-    tcase_add_test(tests, no_region_depends_on_one_follower);
+    tcase_add_test(tests, no_region_depends_on_one_watcher);
     tcase_add_test(tests, rare_heartbeats_do_not_make_the_store_look_lost);
-    tcase_add_test(tests, the_next_instance_follows_when_the_store_fails_the_first);
+    tcase_add_test(tests, the_next_instance_watches_when_the_store_fails_the_first);
     tcase_add_test(tests, directory_names_the_living_and_near);
     suite_add_tcase(suite, tests);
     return suite;
--- a/test/gateway/test_peers.c
+++ b/test/gateway/test_peers.c
@@ -27,18 +27,18 @@
     RUN_UNTIL(site, is_ready(site));
     put_config(site, "/new/");
     RUN_UNTIL(site, ask(site, "GET", "/new/x").status == 200);
-    put_upstream(site, &site->upstreams[0], "draining");
+    put_backend(site, &site->backends[0], "draining");
     RUN_UNTIL(site, ask(site, "GET", "/safe/x").status == 503);
 }
 END_TEST
 
-/* Found on the users' bench: with 80 instances each alone sees too little of a slow upstream. */
-START_TEST(instances_tell_each_other_which_upstreams_fail)
+/* Found on the users' bench: with 80 instances each alone sees too little of a slow backend. */
+START_TEST(instances_tell_each_other_which_backends_fail)
 {
     enum { FAILURES = 12 };
     site_t *site = new_ready_site(2);
-    upstream_t *failing = &site->upstreams[0];
-    put_upstream(site, &site->upstreams[1], "draining");
+    scripted_t *failing = &site->backends[0];
+    put_backend(site, &site->backends[1], "draining");
     gateway_t *first = site->gateway;
     wire_pool_t *first_callers = site->callers;
     gateway_t *second =
@@ -101,7 +101,7 @@
 
 START_TEST(a_large_view_is_read_from_the_store_or_else_from_a_peer)
 {
-    /* 1,500 upstreams, and more changes at once than peers keep. */
+    /* 1,500 backends, and more changes at once than peers keep. */
     enum { MANY = 1500 };
     site_t *site = new_ready_site(1);
     gateway_t *second =
@@ -118,7 +118,7 @@
                                     "capacity", 4),
                           json_pack("{s:s}", "state", "ready"));
     }
-    put_upstream(site, &site->upstreams[0], "draining");
+    put_backend(site, &site->backends[0], "draining");
     standin_store_forget(site->store);
     standin_store_set_mode(site->store, STANDIN_STORE_SERVES);
     RUN_UNTIL(site, ask(site, "GET", "/safe/x").status == 503);
@@ -152,7 +152,7 @@
     TCase *tests = tcase_create("peers");
     tcase_set_timeout(tests, 120);
     tcase_add_test(tests, an_instance_without_the_store_learns_from_its_peer);
-    tcase_add_test(tests, instances_tell_each_other_which_upstreams_fail);
+    tcase_add_test(tests, instances_tell_each_other_which_backends_fail);
     tcase_add_test(tests, instances_that_are_behind_do_not_keep_each_other_there);
     tcase_add_test(tests, a_large_configuration_reaches_the_peer);
     tcase_add_test(tests, a_large_view_is_read_from_the_store_or_else_from_a_peer);
--- a/test/gateway/test_platform.c
+++ b/test/gateway/test_platform.c
@@ -174,7 +174,7 @@
 }
 END_TEST
 
-START_TEST(decodes_an_upstream)
+START_TEST(decodes_a_backend)
 {
     static const char *const text =
         "{\"metadata\":{\"name\":\"i-1\",\"revision\":4},\"spec\":{\"address\":\"10.1.0.9:8080\","
@@ -264,7 +264,7 @@
     tcase_add_test(tests, directory_speaks_the_protocol);
     tcase_add_test(tests, decodes_a_configuration);
     tcase_add_test(tests, refuses_a_broken_configuration);
-    tcase_add_test(tests, decodes_an_upstream);
+    tcase_add_test(tests, decodes_a_backend);
     tcase_add_test(tests, settings_are_checked);
     suite_add_tcase(suite, tests);
     return suite;
--- a/test/gateway/test_region_plan.c
+++ b/test/gateway/test_region_plan.c
@@ -70,7 +70,7 @@
 }
 END_TEST
 
-/* Found on the users' bench: upstreams become known one by one, long before the first request. */
+/* Found on the users' bench: backends become known one by one, long before the first request. */
 START_TEST(plan_follows_room_until_demand_is_seen)
 {
     region_plan_t plan = {0};
--- a/test/gateway/test_request_path.c
+++ b/test/gateway/test_request_path.c
@@ -16,8 +16,8 @@
     ck_assert(reply.whole);
     ck_assert_str_eq(reply.body, "hello");
     ck_assert_uint_eq(all_runs(site), 1);
-    ck_assert(!site->upstreams[0].wrong_instance && !site->upstreams[1].wrong_instance);
-    const uint64_t told = site->upstreams[0].last_deadline | site->upstreams[1].last_deadline;
+    ck_assert(!site->backends[0].wrong_instance && !site->backends[1].wrong_instance);
+    const uint64_t told = site->backends[0].last_deadline | site->backends[1].last_deadline;
     ck_assert(told > 0 && told < 801);
     ck_assert_int_eq(ask(site, "GET", "/none/x").status, 404);
 }
@@ -39,7 +39,7 @@
 START_TEST(what_did_not_run_goes_to_another)
 {
     site_t *site = new_ready_site(2);
-    upstream_t *first = first_upstream(site, "/once/x");
+    scripted_t *first = first_backend(site, "/once/x");
     static const behaviour_t not_run[] = {DOES_REFUSE, DOES_MISDIRECT};
     for (size_t i = 0; i < ALEN(not_run); i++) {
         const size_t before = all_runs(site);
@@ -74,12 +74,12 @@
                                           DOES_UNSIGNED, DOES_FAIL, DOES_CUT_UNFRAMED};
     for (size_t i = 0; i < ALEN(failing); i++) {
         site_t *site = new_ready_site(2);
-        first_upstream(site, "/safe/x")->behaviour = failing[i];
+        first_backend(site, "/safe/x")->behaviour = failing[i];
         const reply_t reply = ask(site, "GET", "/safe/x");
         ck_assert_int_eq(reply.status, 200);
         ck_assert(reply.whole);
         ck_assert_str_eq(reply.body, "hello");
-        /* Never more upstreams than the route allows. */
+        /* Never more backends than the route allows. */
         all_do(site, failing[i]);
         const size_t before = all_runs(site);
         ck_assert_int_ne(ask(site, "GET", "/safe/x").status, 200);
@@ -88,12 +88,12 @@
 }
 END_TEST
 
-START_TEST(an_upstream_that_loses_answers_is_left)
+START_TEST(a_backend_that_loses_answers_is_left)
 {
     /* It takes requests and answers none: others serve its objects after some of that. */
     enum { LOST = 6 };
     site_t *site = new_ready_site(3);
-    first_upstream(site, "/safe/x")->behaviour = DOES_HOLD;
+    first_backend(site, "/safe/x")->behaviour = DOES_HOLD;
     for (int i = 0; i < LOST; i++)
         ask(site, "GET", "/safe/x");
     for (int i = 0; i < 5; i++)
@@ -106,7 +106,7 @@
     site_t *site = new_ready_site(1);
     static const behaviour_t spoiling[] = {DOES_SURPLUS, DOES_LATE, DOES_ANSWER};
     for (size_t i = 0; i < 4 * ALEN(spoiling); i++) {
-        site->upstreams[0].behaviour = spoiling[i % ALEN(spoiling)];
+        site->backends[0].behaviour = spoiling[i % ALEN(spoiling)];
         const reply_t reply = ask(site, i % 2 == 0 ? "GET" : "POST", "/once/x");
         ck_assert_int_eq(reply.status, 200);
         ck_assert_str_eq(reply.body, "hello");
@@ -117,7 +117,7 @@
 START_TEST(an_answer_without_length_is_passed_on_without)
 {
     site_t *site = new_ready_site(1);
-    site->upstreams[0].behaviour = DOES_UNFRAMED;
+    site->backends[0].behaviour = DOES_UNFRAMED;
     const reply_t reply = ask(site, "POST", "/once/x");
     ck_assert_int_eq(reply.status, 200);
     ck_assert(reply.unframed);
@@ -128,26 +128,26 @@
 START_TEST(a_large_answer_is_streamed_whole)
 {
     site_t *site = new_ready_site(1);
-    site->upstreams[0].behaviour = DOES_LARGE;
+    site->backends[0].behaviour = DOES_LARGE;
     const reply_t reply = ask(site, "GET", "/safe/x");
     ck_assert(reply.whole);
     ck_assert_uint_eq(reply.body_len, 100000);
 }
 END_TEST
 
-START_TEST(a_silent_upstream_ends_at_the_time_limit)
+START_TEST(a_silent_backend_ends_at_the_time_limit)
 {
     site_t *site = new_ready_site(1);
-    site->upstreams[0].behaviour = DOES_HOLD;
+    site->backends[0].behaviour = DOES_HOLD;
     ck_assert_int_eq(ask(site, "POST", "/once/x").status, 504);
-    RUN_UNTIL(site, standin_upstream_ended(site->upstreams[0].standin) == 1);
+    RUN_UNTIL(site, standin_backend_ended(site->backends[0].standin) == 1);
 }
 END_TEST
 
 /* Found on the users' bench: the work under way was broken off though nobody else could take it. */
-START_TEST(an_overdue_attempt_goes_on_if_no_other_upstream_takes_it)
+START_TEST(an_overdue_attempt_goes_on_if_no_other_backend_takes_it)
 {
-    enum { HELD = 6 }; /* the failures of the first make the upstream an impaired one */
+    enum { HELD = 6 }; /* the failures of the first make the backend avoided */
     site_t *site = new_ready_site(1);
     reply_t replies[HELD];
     all_do(site, DOES_HOLD);
@@ -170,13 +170,13 @@
 START_TEST(a_caller_that_leaves_ends_the_work)
 {
     site_t *site = new_ready_site(1);
-    site->upstreams[0].behaviour = DOES_HOLD;
+    site->backends[0].behaviour = DOES_HOLD;
     reply_t reply;
     wire_call_t *running =
         call(site, &reply, "GET /safe/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: q\r\n\r\n");
-    RUN_UNTIL(site, site->upstreams[0].runs == 1);
+    RUN_UNTIL(site, site->backends[0].runs == 1);
     wire_call_cancel(running);
-    RUN_UNTIL(site, standin_upstream_ended(site->upstreams[0].standin) == 1);
+    RUN_UNTIL(site, standin_backend_ended(site->backends[0].standin) == 1);
     RUN_UNTIL(site, gateway_active(site->gateway) == 0);
 }
 END_TEST
@@ -208,7 +208,7 @@
     RUN_UNTIL(site, reply.done);
     ck_assert_int_eq(reply.status, 431);
     free(large);
-    ck_assert_uint_eq(site->upstreams[0].runs, 0);
+    ck_assert_uint_eq(site->backends[0].runs, 0);
     ck_assert_int_eq(ask(site, "GET", "/safe/x").status, 200);
 }
 END_TEST
@@ -222,7 +222,7 @@
          "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     RUN_UNTIL(site, reply.done);
     ck_assert_int_eq(reply.status, 200);
-    ck_assert_uint_eq(site->upstreams[0].runs, 1);
+    ck_assert_uint_eq(site->backends[0].runs, 1);
 }
 END_TEST
 
@@ -237,12 +237,12 @@
     tcase_add_test(tests, what_did_not_run_goes_to_another);
     tcase_add_test(tests, what_may_have_run_is_not_sent_again);
     tcase_add_test(tests, what_may_be_repeated_is_sent_again);
-    tcase_add_test(tests, an_upstream_that_loses_answers_is_left);
+    tcase_add_test(tests, a_backend_that_loses_answers_is_left);
     tcase_add_test(tests, answers_never_mix);
     tcase_add_test(tests, an_answer_without_length_is_passed_on_without);
     tcase_add_test(tests, a_large_answer_is_streamed_whole);
-    tcase_add_test(tests, a_silent_upstream_ends_at_the_time_limit);
-    tcase_add_test(tests, an_overdue_attempt_goes_on_if_no_other_upstream_takes_it);
+    tcase_add_test(tests, a_silent_backend_ends_at_the_time_limit);
+    tcase_add_test(tests, an_overdue_attempt_goes_on_if_no_other_backend_takes_it);
     tcase_add_test(tests, a_caller_that_leaves_ends_the_work);
     tcase_add_test(tests, bad_input_is_refused);
     tcase_add_test(tests, a_body_in_chunks_arrives_with_a_length);
--- a/test/gateway/test_store.c
+++ b/test/gateway/test_store.c
@@ -25,7 +25,7 @@
 {
     site_t *site = new_ready_site(1);
     standin_store_put(site->store, "config", "main", json_pack("{s:{s:{}}}", "routes", "r"), NULL);
-    put_upstream(site, &site->upstreams[0], "ready");
+    put_backend(site, &site->backends[0], "ready");
     for (int i = 0; i < 5; i++)
         ck_assert_int_eq(ask(site, "GET", "/safe/x").status, 200);
     put_config(site, "/new/");
@@ -33,13 +33,13 @@
 }
 END_TEST
 
-START_TEST(leaving_gone_and_closed_upstreams_get_nothing)
+START_TEST(leaving_gone_and_closed_backends_get_nothing)
 {
     site_t *site = new_ready_site(2);
-    put_upstream(site, &site->upstreams[0], "draining");
-    put_upstream(site, &site->upstreams[1], "draining");
+    put_backend(site, &site->backends[0], "draining");
+    put_backend(site, &site->backends[1], "draining");
     RUN_UNTIL(site, ask(site, "GET", "/safe/x").status == 503);
-    put_upstream(site, &site->upstreams[1], "ready");
+    put_backend(site, &site->backends[1], "ready");
     RUN_UNTIL(site, ask(site, "GET", "/safe/x").status == 200);
     standin_store_remove(site->store, "servers", "i-0");
     standin_store_put(site->store, "evacuations", "a1", json_object(), NULL);
@@ -60,10 +60,10 @@
     standin_store_set_page(site->store, 2);
     use_gateway(site, start_gateway(site, "g-1", &site->store_port, NULL));
     RUN_UNTIL(site, is_ready(site));
-    put_upstream(site, &site->upstreams[0], "draining");
-    put_upstream(site, &site->upstreams[1], "draining");
-    const size_t before = site->upstreams[2].runs;
-    RUN_UNTIL(site, (ask(site, "GET", "/safe/x"), site->upstreams[2].runs > before));
+    put_backend(site, &site->backends[0], "draining");
+    put_backend(site, &site->backends[1], "draining");
+    const size_t before = site->backends[2].runs;
+    RUN_UNTIL(site, (ask(site, "GET", "/safe/x"), site->backends[2].runs > before));
 }
 END_TEST
 
@@ -95,7 +95,7 @@
     tcase_set_timeout(tests, 120);
     tcase_add_test(tests, a_change_of_configuration_comes_into_force);
     tcase_add_test(tests, a_broken_configuration_changes_nothing);
-    tcase_add_test(tests, leaving_gone_and_closed_upstreams_get_nothing);
+    tcase_add_test(tests, leaving_gone_and_closed_backends_get_nothing);
     tcase_add_test(tests, lists_come_in_pages);
     tcase_add_test(tests, a_store_in_trouble_changes_nothing);
     suite_add_tcase(suite, tests);
