--- a/gateway/policy/retry.c
+++ b/gateway/policy/retry.c
@@ -32,14 +32,16 @@
 retry_verdict_t
 retry_decide_overdue(const retry_overdue_t *input, const retry_account_t *account)
 {
-    const retry_input_t *request = &input->request;
-    if (!request->repeatable)
+    if (!input->request.repeatable)
         return RETRY_MAY_HAVE_RUN;
-    if (request->sends + input->sent >= request->sends_max)
-        return RETRY_USED_UP;
     if (!input->backend_avoided)
         return RETRY_NOT_AVOIDED;
-    return retry_decide(request, account);
+    /* What the overdue attempt has sent counts like an ended one's: its replacement is an extra
+     * send of the service. */
+    retry_input_t request = input->request;
+    request.sends += input->sent;
+    request.may_have_run |= input->sent;
+    return retry_decide(&request, account);
 }
 
 const char *
--- a/gateway/policy/retry.h
+++ b/gateway/policy/retry.h
@@ -12,7 +12,7 @@
  *  - Otherwise the service's retry budget must have room; one extra send is taken from it.
  * An answer of the backend's own is replaced only if it is a 5xx other than 504 to a request that
  * may be repeated, and nothing of it was passed on yet. An overdue attempt is replaced only if its
- * backend is avoided (health.h) and the last send is not used up.
+ * backend is avoided (health.h); what it has sent counts as if it had ended.
  *
  * Pure but for the budget, which is passed in.
  */
@@ -60,7 +60,7 @@
 bool retry_replaces_answer(int status, bool repeatable, bool passed_on);
 
 typedef struct {
-    retry_input_t request; /* without the overdue attempt */
+    retry_input_t request; /* its sends without that of the overdue attempt */
     bool sent;             /* bytes of the overdue attempt may have gone out */
     bool backend_avoided;
 } retry_overdue_t;
