--- a/gateway/policy/breaker.c
+++ b/gateway/policy/breaker.c
@@ -31,6 +31,12 @@
     breaker->probing = breaker->failures > 0 && breaker->suspended_until_ms > 0;
 }
 
+void
+breaker_attempts_ended(breaker_t *breaker)
+{
+    breaker->probing = false;
+}
+
 bool
 breaker_is_suspended(const breaker_t *breaker, uint64_t now_ms)
 {
--- a/gateway/state/backend.c
+++ b/gateway/state/backend.c
@@ -92,6 +92,8 @@
 backend_attempt_finished(backend_t *backend)
 {
     backend->in_flight--;
+    if (backend->in_flight == 0)
+        breaker_attempts_ended(&backend->breaker);
 }
 
 void
--- a/test/gateway/main.c
+++ b/test/gateway/main.c
@@ -23,6 +23,7 @@
     srunner_add_suite(runner, suite_gateway_store());
     srunner_add_suite(runner, suite_gateway_peers());
     srunner_add_suite(runner, suite_gateway_endpoints());
+    srunner_add_suite(runner, suite_gateway_breaker());
     srunner_run_all(runner, CK_NORMAL);
     const int failed = srunner_ntests_failed(runner);
     const int run = srunner_ntests_run(runner);
--- a/test/suites.h
+++ b/test/suites.h
@@ -13,6 +13,7 @@
 Suite *suite_network(void);
 Suite *suite_check(void);
 Suite *suite_gateway_config(void);
+Suite *suite_gateway_breaker(void);
 Suite *suite_gateway_view(void);
 Suite *suite_gateway_region_plan(void);
 Suite *suite_gateway_choice(void);
