--- a/gateway/path/exchange.c
+++ b/gateway/path/exchange.c
@@ -337,7 +337,7 @@
         .slow_ms = router_slow_ms(router, ex->route),
     };
     attempt_start(&ex->attempt, &conf);
-    ex->overdue_ms = now_ms(ex) + conf.slow_ms;
+    ex->overdue_ms = conf.slow_ms > 0 ? now_ms(ex) + conf.slow_ms : 0;
     set_timer(ex);
 }
 
--- a/test/gateway/site.c
+++ b/test/gateway/site.c
@@ -134,6 +134,9 @@
         json_pack("{s:o, s:o}", "safe", route("/safe/", "safe"), "once", route("/once/", "unsafe"));
     if (extra_prefix != NULL)
         json_object_set_new(routes, "extra", route(extra_prefix, "safe"));
+    json_t *unaimed = route("/unaimed/", "safe"); /* without a latency objective */
+    json_object_set_new(unaimed, "targetLatencyMs", json_integer(0));
+    json_object_set_new(routes, "unaimed", unaimed);
     for (unsigned i = 0; i < site->extra_routes; i++) {
         char name[32];
         char prefix[32];
--- a/test/gateway/test_request_path.c
+++ b/test/gateway/test_request_path.c
@@ -167,6 +167,20 @@
 }
 END_TEST
 
+/* Found by reading: without an objective and before any answer, an attempt was overdue at once. */
+START_TEST(nothing_is_overdue_before_it_is_known_what_is_usual)
+{
+    site_t *site = new_ready_site(2);
+    all_do(site, DOES_FAIL);
+    while (!gateway_avoids(site->gateway, STR("i-0")) || !gateway_avoids(site->gateway, STR("i-1")))
+        ask(site, "POST", "/once/x");
+    all_do(site, DOES_HOLD);
+    const size_t before = all_runs(site);
+    ck_assert_int_eq(ask(site, "GET", "/unaimed/x").status, 504);
+    ck_assert_uint_eq(all_runs(site), before + 1);
+}
+END_TEST
+
 START_TEST(a_caller_that_leaves_ends_the_work)
 {
     site_t *site = new_ready_site(1);
@@ -243,6 +257,7 @@
     tcase_add_test(tests, a_large_answer_is_streamed_whole);
     tcase_add_test(tests, a_silent_backend_ends_at_the_time_limit);
     tcase_add_test(tests, an_overdue_attempt_goes_on_if_no_other_backend_takes_it);
+    tcase_add_test(tests, nothing_is_overdue_before_it_is_known_what_is_usual);
     tcase_add_test(tests, a_caller_that_leaves_ends_the_work);
     tcase_add_test(tests, bad_input_is_refused);
     tcase_add_test(tests, a_body_in_chunks_arrives_with_a_length);
