--- a/test/gateway/main.c
+++ b/test/gateway/main.c
@@ -24,6 +24,9 @@
     srunner_add_suite(runner, suite_gateway_peers());
     srunner_add_suite(runner, suite_gateway_endpoints());
     srunner_add_suite(runner, suite_gateway_breaker());
+    srunner_add_suite(runner, suite_gateway_admission());
+    srunner_add_suite(runner, suite_gateway_final_answer());
+    srunner_add_suite(runner, suite_gateway_lifetime());
     srunner_run_all(runner, CK_NORMAL);
     const int failed = srunner_ntests_failed(runner);
     const int run = srunner_ntests_run(runner);
--- /dev/null
+++ b/test/gateway/test_final_answer.c
@@ -0,0 +1,94 @@
+/* What a caller is told, and when: deadline, slow answers, final answer. */
+#include "base/xmalloc.h"
+#include "gateway/policy/deadline.h"
+#include "gateway/policy/final_answer.h"
+#include "gateway/policy/slow.h"
+#include "test/suites.h"
+
+START_TEST(only_what_has_not_run_is_told_to_come_back)
+{
+    static const struct {
+        outcome_t why;
+        bool may_have_run;
+        int status;
+        bool come_back;
+        outcome_t outcome;
+    } rows[] = {
+        {OUTCOME_NO_ROOM, false, 503, true, OUTCOME_NO_ROOM},
+        {OUTCOME_NO_ROOM, true, 502, false, OUTCOME_UNKNOWN},
+        {OUTCOME_NO_BACKEND, false, 503, true, OUTCOME_NO_BACKEND},
+        {OUTCOME_NOT_RUN, false, 503, true, OUTCOME_NOT_RUN},
+        {OUTCOME_NOT_RUN, true, 502, false, OUTCOME_UNKNOWN},
+        {OUTCOME_TIMEOUT, false, 503, true, OUTCOME_TIMEOUT_UNSENT},
+        {OUTCOME_TIMEOUT, true, 504, false, OUTCOME_TIMEOUT},
+        {OUTCOME_NO_CONFIGURATION, false, 503, true, OUTCOME_NO_CONFIGURATION},
+        {OUTCOME_NO_ROUTE, false, 404, false, OUTCOME_NO_ROUTE},
+    };
+    for (size_t i = 0; i < ALEN(rows); i++) {
+        const final_answer_t answer = final_answer(rows[i].why, rows[i].may_have_run);
+        ck_assert_int_eq(answer.status, rows[i].status);
+        ck_assert(rows[i].come_back == (answer.retry_after_ms > 0));
+        ck_assert_int_eq(answer.outcome, rows[i].outcome);
+    }
+}
+END_TEST
+
+START_TEST(outcomes_keep_their_names_in_the_metric)
+{
+    static const char *const names[] = {
+        "answered",         "upstream_failed", "not_run",           "no_room",     "no_upstream",
+        "no_configuration", "no_route",        "too_many_services", "unknown",     "timeout",
+        "timeout_unsent",   "cut_by_upstream", "cut_at_deadline",   "caller_left",
+    };
+    ck_assert_uint_eq(ALEN(names), OUTCOME_COUNT);
+    for (size_t i = 0; i < ALEN(names); i++)
+        ck_assert_str_eq(outcome_name((outcome_t)i), names[i]);
+}
+END_TEST
+
+START_TEST(the_shorter_limit_decides)
+{
+    static const struct {
+        deadline_input_t input;
+        uint64_t allowed_ms;
+    } rows[] = {
+        {{.route_limit_ms = 900}, 900},
+        {{.route_limit_ms = 900, .has_caller_limit = true, .caller_limit_ms = 2000}, 900},
+        {{.route_limit_ms = 900, .has_caller_limit = true, .caller_limit_ms = 800}, 785},
+        {{.route_limit_ms = 900, .has_caller_limit = true, .caller_limit_ms = 10}, 1},
+        {{.route_limit_ms = 0}, 30000},
+    };
+    for (size_t i = 0; i < ALEN(rows); i++)
+        ck_assert_uint_eq(deadline_allowed_ms(&rows[i].input), rows[i].allowed_ms);
+}
+END_TEST
+
+START_TEST(slow_is_far_beyond_the_usual)
+{
+    ck_assert_uint_eq(slow_after_ms(400, 0), 2000);  /* nothing known: five objectives */
+    ck_assert_uint_eq(slow_after_ms(400, 50), 400);  /* never below the objective */
+    ck_assert_uint_eq(slow_after_ms(400, 200), 780); /* 3.9 medians */
+    ck_assert_uint_eq(slow_after_ms(0, 0), 0);       /* no limit */
+    slow_input_t input = {.slow_ms = 780, .elapsed_ms = 780};
+    ck_assert(slow_counts_as_failure(&input));
+    input.queued = true;
+    ck_assert(!slow_counts_as_failure(&input));
+    input = (slow_input_t){.slow_ms = 780, .elapsed_ms = 780, .cold = true};
+    ck_assert(!slow_counts_as_failure(&input));
+    input = (slow_input_t){.slow_ms = 0, .elapsed_ms = 780};
+    ck_assert(!slow_counts_as_failure(&input));
+}
+END_TEST
+
+Suite *
+suite_gateway_final_answer(void)
+{
+    Suite *suite = suite_create("gateway: final answer");
+    TCase *tests = tcase_create("final answer");
+    tcase_add_test(tests, only_what_has_not_run_is_told_to_come_back);
+    tcase_add_test(tests, outcomes_keep_their_names_in_the_metric);
+    tcase_add_test(tests, the_shorter_limit_decides);
+    tcase_add_test(tests, slow_is_far_beyond_the_usual);
+    suite_add_tcase(suite, tests);
+    return suite;
+}
--- /dev/null
+++ b/test/gateway/test_lifetime.c
@@ -0,0 +1,56 @@
+/* When a backend server is gone, and when an instance ends. */
+#include "base/xmalloc.h"
+#include "gateway/policy/removal.h"
+#include "gateway/policy/shutdown.h"
+#include "test/suites.h"
+
+START_TEST(a_removal_takes_effect_at_once_but_for_trouble_of_the_store)
+{
+    static const struct {
+        removal_input_t input;
+        removal_t expected;
+    } rows[] = {
+        {{.listed = 10, .known = 12}, {0, REMOVAL_AT_ONCE}},
+        {{.listed = 6, .known = 12}, {0, REMOVAL_AT_ONCE}},
+        {{.listed = 5, .known = 12}, {1400, REMOVAL_MASS_LOSS}},
+        {{.listed = 5, .known = 12, .store_was_down = true}, {2200, REMOVAL_AFTER_OUTAGE}},
+        {{.listed = 12, .known = 12, .store_was_down = true}, {2200, REMOVAL_AFTER_OUTAGE}},
+    };
+    for (size_t i = 0; i < ALEN(rows); i++) {
+        const removal_t removal = removal_decide(&rows[i].input);
+        ck_assert_uint_eq(removal.grace_ms, rows[i].expected.grace_ms);
+        ck_assert_int_eq(removal.reason, rows[i].expected.reason);
+    }
+}
+END_TEST
+
+START_TEST(a_stopping_instance_ends_when_nothing_is_left_or_before_the_kill)
+{
+    static const struct {
+        shutdown_input_t input;
+        bool due;
+    } rows[] = {
+        {{.age_ms = 2300, .grace_ms = 6000}, false},
+        {{.age_ms = 2400, .grace_ms = 6000}, true},
+        {{.age_ms = 2400, .grace_ms = 6000, .requests = 1}, false},
+        {{.age_ms = 2400, .grace_ms = 6000, .connections = 1}, false},
+        {{.age_ms = 5399, .grace_ms = 6000, .requests = 1}, false},
+        {{.age_ms = 5400, .grace_ms = 6000, .requests = 1}, true},
+    };
+    for (size_t i = 0; i < ALEN(rows); i++)
+        ck_assert(shutdown_is_due(&rows[i].input) == rows[i].due);
+    ck_assert(!shutdown_refuses_connections(1999));
+    ck_assert(shutdown_refuses_connections(2000));
+}
+END_TEST
+
+Suite *
+suite_gateway_lifetime(void)
+{
+    Suite *suite = suite_create("gateway: lifetime");
+    TCase *tests = tcase_create("lifetime");
+    tcase_add_test(tests, a_removal_takes_effect_at_once_but_for_trouble_of_the_store);
+    tcase_add_test(tests, a_stopping_instance_ends_when_nothing_is_left_or_before_the_kill);
+    suite_add_tcase(suite, tests);
+    return suite;
+}
--- a/test/gateway/test_retry.c
+++ b/test/gateway/test_retry.c
@@ -43,6 +43,49 @@
 }
 END_TEST
 
+START_TEST(a_retry_needs_certainty_time_and_budget)
+{
+    static const struct {
+        retry_input_t input;
+        retry_verdict_t expected;
+    } rows[] = {
+        {{.backends_tried = 1, .sends = 1, .sends_max = 2, .left_ms = 500}, RETRY_YES},
+        {{.may_have_run = true, .backends_tried = 1, .sends = 1, .sends_max = 2, .left_ms = 500},
+         RETRY_MAY_HAVE_RUN},
+        {{.repeatable = true,
+          .may_have_run = true,
+          .backends_tried = 1,
+          .sends = 1,
+          .sends_max = 2,
+          .left_ms = 500},
+         RETRY_YES},
+        {{.backends_tried = 2, .sends = 2, .sends_max = 2, .left_ms = 500}, RETRY_USED_UP},
+        {{.backends_tried = 3, .sends_max = 2, .left_ms = 500}, RETRY_YES},
+        {{.backends_tried = 4, .sends_max = 2, .left_ms = 500}, RETRY_USED_UP},
+        {{.backends_tried = 1, .sends = 1, .sends_max = 2, .left_ms = 59}, RETRY_NO_TIME},
+    };
+    for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
+        retry_budget_t budget = {0};
+        const retry_account_t account = {
+            .budget = &budget,
+            .terms = {.constant = 2, .window_ms = 10000, .instances = 1},
+            .now_ms = 50000,
+        };
+        ck_assert_int_eq(retry_decide(&rows[i].input, &account), rows[i].expected);
+    }
+}
+END_TEST
+
+START_TEST(a_backends_own_failure_is_replaced_only_if_nothing_was_passed_on)
+{
+    ck_assert(retry_replaces_answer(500, true, false));
+    ck_assert(!retry_replaces_answer(500, false, false));
+    ck_assert(!retry_replaces_answer(500, true, true));
+    ck_assert(!retry_replaces_answer(504, true, false));
+    ck_assert(!retry_replaces_answer(404, true, false));
+}
+END_TEST
+
 Suite *
 suite_gateway_retry(void)
 {
@@ -50,6 +93,8 @@
     TCase *tests = tcase_create("retry");
     tcase_add_test(tests, retry_budget_bounds_every_window);
     tcase_add_test(tests, replacing_an_overdue_attempt_takes_from_the_budget);
+    tcase_add_test(tests, a_retry_needs_certainty_time_and_budget);
+    tcase_add_test(tests, a_backends_own_failure_is_replaced_only_if_nothing_was_passed_on);
     suite_add_tcase(suite, tests);
     return suite;
 }
