--- a/test/gateway/test_platform.c
+++ b/test/gateway/test_platform.c
@@ -174,6 +174,27 @@
 }
 END_TEST
 
+START_TEST(a_field_of_the_wrong_type_counts_as_absent)
+{
+    static const char *const text =
+        "{\"spec\":{\"version\":\"a-version-that-is-too-long\",\"routes\":{\"r\":{\"host\":\"h\","
+        "\"pathPrefix\":\"/\",\"service\":\"s\",\"routeType\":7,\"timeoutMs\":\"2000\","
+        "\"targetLatencyMs\":-5,\"maxAttempts\":3,\"sticky\":\"yes\"}},"
+        "\"limits\":{\"maxHeaderBytes\":[]}}}";
+    err_t err = {0};
+    config_t *config = platform_decoder.config(str_from(text), &err);
+    ck_assert_ptr_nonnull(config);
+    ck_assert_str_eq(config->version, "a-version-that-");
+    const config_route_t *route = config_route(config, STR("h"), STR("/"));
+    ck_assert(!route->repeatable && !route->sticky);
+    ck_assert_uint_eq(route->timeout_ms, 0);
+    ck_assert_uint_eq(route->aim_ms, 0);
+    ck_assert_uint_eq(route->max_attempts, 3);
+    ck_assert_uint_eq(config->limits.max_head_bytes, 16384);
+    config_unref(config);
+}
+END_TEST
+
 START_TEST(decodes_a_backend)
 {
     static const char *const text =
@@ -264,6 +285,7 @@
     tcase_add_test(tests, directory_speaks_the_protocol);
     tcase_add_test(tests, decodes_a_configuration);
     tcase_add_test(tests, refuses_a_broken_configuration);
+    tcase_add_test(tests, a_field_of_the_wrong_type_counts_as_absent);
     tcase_add_test(tests, decodes_a_backend);
     tcase_add_test(tests, settings_are_checked);
     suite_add_tcase(suite, tests);
