--- a/gateway/settings.c
+++ b/gateway/settings.c
@@ -7,6 +7,10 @@
 
 enum { TEXT_MAX = 255, MS_PER_S = 1000 };
 
+/* The least values that make sense; below them something is mistyped. */
+#define TTL_MIN_S 0.1
+#define WINDOW_MIN_S 1
+
 /* The file as libcyaml reads it; values are checked afterwards. */
 typedef struct {
     char *place;
@@ -142,11 +146,11 @@
            read_addr("directory", raw->directory, &out->directory, err) &&
            read_addr("peer", raw->peer, &out->peer, err) &&
            read_addr("store", raw->store, &out->store, err) &&
-           read_number("directory_ttl_s", raw->directory_ttl_s, 0.1, err) &&
+           read_number("directory_ttl_s", raw->directory_ttl_s, TTL_MIN_S, err) &&
            read_number("grace_s", raw->grace_s, 0, err) &&
            read_number("retry_ratio", raw->retry_ratio, 0, err) &&
            read_number("retry_constant", raw->retry_constant, 0, err) &&
-           read_number("retry_window_s", raw->retry_window_s, 1, err) &&
+           read_number("retry_window_s", raw->retry_window_s, WINDOW_MIN_S, err) &&
            read_seeds(raw, out, err) && read_places(raw, out, err);
 }
 
--- a/gateway/settings.h
+++ b/gateway/settings.h
@@ -1,28 +1,33 @@
-/* The settings file of a gateway instance, in YAML. docs/GATEWAY.md lists the keys. */
+/*
+ * Settings of a gateway instance, read from a YAML file and checked.
+ *
+ * docs/GATEWAY.md lists the keys, which keep their names: `place` is a data hall. Relies on
+ * base/yaml.h.
+ */
 #pragma once
 
 #include "base/addr.h"
 #include "base/error.h"
 #include "gateway/membership/topology.h"
 
-enum { SETTINGS_SEEDS = 8 };
+enum { SETTINGS_SEEDS = 8 }; /* chosen: enough that one of them is alive */
 
 typedef struct {
-    name_t name;
-    name_t hall;
-    addr_t callers;
+    name_t name;    /* of this instance */
+    name_t hall;    /* its data hall */
+    addr_t callers; /* to listen on, like the next four */
     addr_t readiness;
     addr_t directory;
     addr_t peer;
     addr_t admin;
     bool has_admin;
-    addr_t store;
+    addr_t store; /* the platform's */
     addr_t seeds[SETTINGS_SEEDS];
     size_t seed_count;
     topology_t topology;
-    double directory_ttl_s;
-    uint64_t grace_ms; /* from the request to stop until the process is killed */
-    double retry_ratio;
+    double directory_ttl_s; /* seconds for which callers may keep the directory's answer */
+    uint64_t grace_ms;      /* from the request to stop until the process is killed */
+    double retry_ratio;     /* see retry_budget.h */
     double retry_constant;
     uint64_t retry_window_ms;
 } gateway_settings_t;
--- a/gateway/state/config.h
+++ b/gateway/state/config.h
@@ -1,7 +1,10 @@
 /*
- * One version of the operator's configuration: routes, services and the bounds on what callers
- * send. Immutable once built and reference-counted, so that a request is decided by one version
- * from its arrival to its answer.
+ * One version of the operators' configuration: routes, services and the limits on what callers
+ * send.
+ *
+ * Immutable once sealed, and reference-counted, so that one version decides a request from its
+ * arrival to its answer. Built by the adapter's decoder. Owns its texts and lists; relies on
+ * nothing.
  */
 #pragma once
 
@@ -10,25 +13,26 @@
 
 #include "base/str.h"
 
-enum { CONFIG_HOMES_MAX = 8, CONFIG_TARGETS_MAX = 8, CONFIG_VERSION_MAX = 15 };
+enum { CONFIG_VERSION_MAX = 15 }; /* bytes; the users' versions have 8 */
 
+/* One part of a route's traffic split. */
 typedef struct {
     name_t service;
-    double weight;
+    double weight; /* at least 0; its share is its part of the sum */
 } config_target_t;
 
 typedef struct {
     name_t name;
     char *host;
-    char *prefix; /* begins and ends with a slash */
-    uint64_t key; /* hash over host and prefix */
-    bool repeatable;
-    bool large; /* answers are large: keep them near the caller */
-    bool sticky;
-    int priority; /* 0 is the most urgent */
-    uint32_t timeout_ms;
-    uint32_t aim_ms;
-    uint32_t max_attempts;
+    char *prefix;          /* begins and ends with a slash */
+    uint64_t key;          /* hash over host and prefix */
+    bool repeatable;       /* its requests may run more than once */
+    bool large;            /* answers are large: keep them near the caller */
+    bool sticky;           /* backends keep the objects of its requests in memory */
+    int priority;          /* 0 is the most urgent */
+    uint32_t timeout_ms;   /* limit on a request's time, 0 for none */
+    uint32_t aim_ms;       /* latency objective, 0 for none */
+    uint32_t max_attempts; /* sends of a request, the first one included */
     size_t target_count;
     size_t home_count;
     config_target_t *targets;
@@ -37,9 +41,9 @@
 
 typedef struct {
     name_t name;
-    uint32_t max_connections; /* an upstream accepts this many from all instances together */
-    uint32_t cold_ms;         /* how long a started upstream stays cold */
-    double cold_per_s;        /* requests a second that a cold upstream bears, 0 for no bound */
+    uint32_t max_connections; /* that a backend accepts from all instances together */
+    uint32_t cold_ms;         /* how long a started backend stays cold */
+    double cold_per_s;        /* requests a second that a cold backend bears, 0 for no bound */
 } config_service_t;
 
 typedef struct {
@@ -60,8 +64,9 @@
     size_t service_count;
 } config_t;
 
+/* Room for that many routes and services, to be filled in; the caller gets a reference. */
 config_t *config_new(size_t route_count, size_t service_count);
-/* Makes look-ups possible; call once when all routes are filled in. */
+/* Makes look-ups possible; called once when all routes are filled in. */
 void config_seal(config_t *config);
 config_t *config_ref(config_t *config);
 void config_unref(config_t *config);
--- a/gateway/state/view.h
+++ b/gateway/state/view.h
@@ -1,9 +1,12 @@
 /*
- * A view: what this instance knows of one kind of the store's objects, and how old it is.
+ * A view: this instance's copy of one kind of the store's objects.
  *
- * `at` is the store's revision up to which the view is complete. A view only moves forward: a
- * whole list replaces it if it is newer, changes are applied object by object. Two views with
- * the same digest hold the same objects. Pure state: no input or output.
+ * `at` is the store's revision up to which the view is complete. A view only moves forward: a whole
+ * list replaces it if it is newer, changes are applied object by object. Two views with the same
+ * digest hold the same objects.
+ *
+ * Owns copies of the objects and of the latest changes. Does no input or output; store_watch.h and
+ * view_relay.h fill it.
  */
 #pragma once
 
@@ -16,20 +19,22 @@
     size_t body_len;
 } view_item_t;
 
-enum { VIEW_CHANGES = 512 }; /* changes kept for peers that missed some */
+/* Changes kept for peers that missed some; beyond that they need the whole view (commit 59548b9).
+ */
+enum { VIEW_CHANGES = 512 };
 
 typedef struct {
     char *name;
-    uint64_t at; /* the view's revision once it was taken in */
+    uint64_t at; /* the view's revision once it was applied */
 } view_change_t;
 
 typedef struct {
     uint64_t at;
-    bool known;         /* a whole list was taken in once */
+    bool known;         /* a whole list came once */
     view_item_t *items; /* sorted by name */
     size_t count;
     size_t size;
-    uint64_t digest;
+    uint64_t digest;                     /* over all names and revisions */
     view_change_t changes[VIEW_CHANGES]; /* a ring */
     uint64_t change_count;               /* of all time */
     uint64_t changes_from;               /* the ring holds all changes after this revision */
@@ -41,9 +46,9 @@
     VIEW_GAP, /* changes between are missing: ask for the whole view */
 } view_result_t;
 
-/* Takes in a whole list. */
+/* Replaces the view by a whole list, unless that is older. */
 view_result_t view_replace(view_t *view, const store_item_t *items, size_t count, uint64_t at);
-/* Takes in the changes after `from` up to `at`. */
+/* Applies the changes after `from` up to `at`. */
 view_result_t view_apply(view_t *view, const store_item_t *items, size_t count, uint64_t from,
                          uint64_t at);
 /* Another view that is complete up to `at` has this digest: if it is ours, ours is as new. */
@@ -51,5 +56,6 @@
 /* The objects that changed or went after revision `have`, at most VIEW_CHANGES of them (an object
  * may come twice); false if the changes are not known any more. The texts are the view's. */
 bool view_since(const view_t *view, uint64_t have, store_item_t *out, size_t *count);
+/* NULL if there is none. */
 const view_item_t *view_find(const view_t *view, str_t name);
 void view_free(view_t *view);
--- a/scripts/border.sh
+++ b/scripts/border.sh
@@ -1,6 +1,9 @@
 #!/usr/bin/env bash
-# The names of the users' platform (headers, kinds, fields, paths) stand in platform/, standin/,
-# deploy/, the tests and the documents only. Prints each line elsewhere that has one; exit 1 if any.
+# Holds the shape of the gateway. Prints each line that breaks a rule; exit 1 if any:
+#  - names of the users' platform (headers, kinds, fields, paths) stand in platform/, standin/,
+#    deploy/, the tests and the documents only, and platform/ stays small;
+#  - the decisions (gateway/policy/) include nothing of connections, the request path or libuv;
+#  - the gateway says data hall and backend server, but for names that others read.
 set -u
 cd "${1:-$(dirname "$0")/..}" || exit 2
 NAMES='Attempt-Id|Affinity-Key|Deadline-Ms|Expect-Instance|Not-Executed|Response-Signature'
@@ -16,7 +19,18 @@
     echo "platform/ has $lines lines, more than 1500"
     exit 1
 fi
-[ -z "$found" ] && exit 0
-echo "names of the platform outside platform/:"
-echo "$found"
-exit 1
+broken=0
+report() { # TITLE LINES
+    [ -n "$2" ] || return 0
+    echo "$1:"
+    echo "$2"
+    broken=1
+}
+report "names of the platform outside platform/" "$found"
+report "decisions that include more than state" "$(grep -rnE \
+    '#include ["<](wire/|peer/|platform/|gateway/path/|uv\.h)' gateway/policy || true)"
+# Kept for their readers: metric names and labels, and the text of the admin pages.
+KEPT='irisstall_upstreams|"Upstreams |"UPSTREAMS"|UPSTREAMS are|_upstream"|upstream_failed|"zone closed"'
+report "words that are not the project's" "$(grep -rnwiE 'zones?|upstreams?' gateway --include='*.[ch]' \
+    | grep -vE "$KEPT" || true)"
+exit "$broken"
