--- /dev/null
+++ b/wire/server_conn.c
@@ -0,0 +1,141 @@
+#include <stdlib.h>
+
+#include "base/xmalloc.h"
+#include "wire/server_conn.h"
+
+typedef struct {
+    uv_write_t req;
+    wire_conn_t *conn;
+    char *bytes;
+    size_t len;
+} write_t;
+
+static void
+on_conn_closed(uv_handle_t *handle)
+{
+    wire_conn_t *conn = handle->data;
+    wire_head_free(&conn->req.head);
+    free(conn->req.body);
+    free(conn->early);
+    free(conn->out.ptr);
+    free(conn);
+}
+
+static void
+forget_conn(wire_conn_t *conn)
+{
+    conn->dead = true;
+    *conn->slot = conn->next;
+    if (conn->next != NULL)
+        conn->next->slot = conn->slot;
+    conn->listener->conn_count--;
+}
+
+void
+wire_conn_close(wire_conn_t *conn)
+{
+    if (conn->dead)
+        return;
+    forget_conn(conn);
+    uv_close((uv_handle_t *)&conn->tcp, on_conn_closed);
+}
+
+void
+wire_conn_reset(wire_conn_t *conn)
+{
+    if (conn->dead)
+        return;
+    forget_conn(conn);
+    if (uv_tcp_close_reset(&conn->tcp, on_conn_closed) != 0)
+        uv_close((uv_handle_t *)&conn->tcp, on_conn_closed);
+}
+
+void
+wire_conn_lose(wire_conn_t *conn)
+{
+    if (conn->dead)
+        return;
+    void (*on_gone)(void *) = conn->state == STATE_ANSWERING ? conn->req.on_gone : NULL;
+    void *ctx = conn->req.ctx;
+    conn->req.on_gone = NULL;
+    wire_conn_close(conn);
+    if (on_gone != NULL)
+        on_gone(ctx);
+}
+
+void
+wire_conn_set_state(wire_conn_t *conn, wire_state_t state)
+{
+    conn->state = state;
+    conn->since_ms = uv_now(conn->listener->loop);
+}
+
+static void
+on_written(uv_write_t *req, int status)
+{
+    write_t *write = (write_t *)req;
+    wire_conn_t *conn = write->conn;
+    conn->in_flight -= write->len;
+    free(write->bytes);
+    free(write);
+    if (conn->dead)
+        return;
+    if (status != 0) {
+        wire_conn_lose(conn);
+        return;
+    }
+    if (conn->in_flight == 0 && conn->state == STATE_ANSWERING && conn->req.on_drain != NULL)
+        conn->req.on_drain(conn->req.ctx);
+}
+
+void
+wire_conn_flush(wire_conn_t *conn)
+{
+    if (conn->dead || conn->out.len == 0)
+        return;
+    uv_buf_t buf = uv_buf_init(conn->out.ptr, (unsigned)conn->out.len);
+    size_t done = 0;
+    if (conn->in_flight == 0) {
+        const int n = uv_try_write((uv_stream_t *)&conn->tcp, &buf, 1);
+        if (n > 0)
+            done = (size_t)n;
+    }
+    const size_t rest = conn->out.len - done;
+    if (rest > 0) {
+        write_t *write = xmalloc(sizeof(*write));
+        write->conn = conn;
+        write->len = rest;
+        write->bytes = xmemdup0(conn->out.ptr + done, rest);
+        buf = uv_buf_init(write->bytes, (unsigned)rest);
+        conn->in_flight += rest;
+        if (uv_write(&write->req, (uv_stream_t *)&conn->tcp, &buf, 1, on_written) != 0) {
+            conn->in_flight -= rest;
+            free(write->bytes);
+            free(write);
+            conn->keep = false;
+        }
+    }
+    conn->out.len = 0;
+    if (conn->out.size > WIRE_FLUSH_SIZE) {
+        free(conn->out.ptr);
+        conn->out = (wire_text_t){0};
+    }
+}
+
+static void
+on_shutdown(uv_shutdown_t *req, int status)
+{
+    (void)status;
+    free(req);
+}
+
+void
+wire_conn_finish(wire_conn_t *conn)
+{
+    wire_conn_set_state(conn, STATE_CLOSING);
+    uv_shutdown_t *req = xmalloc(sizeof(*req));
+    if (uv_shutdown(req, (uv_stream_t *)&conn->tcp, on_shutdown) != 0) {
+        free(req);
+        wire_conn_close(conn);
+    }
+}
--- a/wire/listener_conn.h
+++ b/wire/server_conn.h
@@ -1,10 +1,19 @@
-/* Inside of the listener: a connection of a caller. Used by listener.c and respond.c only. */
+/*
+ * Server connection: a caller's connection, its output and its end. Inside of the listener.
+ *
+ * listener.c accepts connections and ends slow ones, request_reader.c reads requests, respond.c
+ * writes answers; each relies on this file and on those named after it. Owns socket, buffers and
+ * the request under way.
+ */
 #pragma once
 
 #include <http_parser.h>
 
 #include "wire/listener.h"
 
+/* Buffered answer bytes that are written without being asked. Chosen, not measured. */
+enum { WIRE_FLUSH_SIZE = 16384 };
+
 typedef struct wire_conn wire_conn_t;
 
 typedef enum {
@@ -20,7 +29,9 @@
     uv_loop_t *loop;
     wire_limits_t limits;
     wire_handler_t handler;
-    void *ctx;
+    void *ctx; /* of the handler */
+    /* An answer has ended and the connection goes on. */
+    void (*on_answered)(wire_conn_t *conn);
     wire_conn_t *conns;
     size_t conn_count;
     uint16_t port;
@@ -32,33 +43,33 @@
     wire_request_t req; /* first: wire_request_t and wire_conn_t share their address */
     uv_tcp_t tcp;
     wire_listener_t *listener;
-    wire_conn_t *next;
-    wire_conn_t **slot;
+    wire_conn_t *next;  /* of the listener */
+    wire_conn_t **slot; /* what points to this one */
     http_parser parser;
     wire_state_t state;
     uint64_t since_ms; /* start of the state */
-    size_t head_bytes;
-    size_t body_size;
-    char *early; /* bytes of a next request */
+    size_t body_size;  /* allocated for the request's body */
+    char *early;       /* bytes of a next request */
     size_t early_len;
-    wire_text_t out;
+    wire_text_t out;  /* answer bytes not handed to libuv yet */
     size_t in_flight; /* bytes handed to libuv and not written */
     bool keep;        /* the connection goes on after this answer */
-    bool started;
+    bool started;     /* the answer has begun */
     bool chunked;
     bool until_close; /* the answer ends with the connection */
     bool head_only;   /* HEAD: no body */
-    bool dead;
-    bool whole; /* the parser has the whole request */
+    bool dead;        /* closed; freed once libuv is done with it */
+    bool whole;       /* the parser has the whole request */
 };
 
+/* Enters the state now. */
 void wire_conn_set_state(wire_conn_t *conn, wire_state_t state);
 /* Hands what is buffered to the socket. */
 void wire_conn_flush(wire_conn_t *conn);
 void wire_conn_close(wire_conn_t *conn);
+/* Closes with a reset, so that an answer without a length does not look complete. */
+void wire_conn_reset(wire_conn_t *conn);
 /* Ends our side after the last answer; the caller's close or a timer ends the connection. */
 void wire_conn_finish(wire_conn_t *conn);
-/* The caller has left or the connection broke. */
+/* The caller has left or the connection broke: tells the handler of a request under way. */
 void wire_conn_lose(wire_conn_t *conn);
-/* Makes the connection ready for its next request, part of which may be here already. */
-void wire_conn_next(wire_conn_t *conn);
