--- a/gateway/policy/choice.h
+++ b/gateway/policy/choice.h
@@ -16,7 +16,7 @@
  * Reason: a request about an object that the backend does not have in memory runs 3.3 times as long
  * and pushes other objects out; so backends beyond the replicas are not used. All instances make
  * the same choice from the same list without talking to each other.
- * Measured: docs/design/choice-platform.md.
+ * Measured: docs/design/gateway/choice.md.
  *
  * Pure but for the cold backends' token buckets. Relies on state/backend.h and state/config.h for
  * what it chooses from.
--- a/gateway/policy/cold_start.h
+++ b/gateway/policy/cold_start.h
@@ -9,7 +9,7 @@
  * Reason: a cold backend falls over well above its rate, and instances have no time to agree on
  * who sends. Lost instances stay in the list, so that a partition does not make new senders; two
  * instances with different lists choose at most twice the number, which the platform's bound
- * (1.5 times the rate and a constant) takes. docs/design/cold.md.
+ * (1.5 times the rate and a constant) takes. docs/design/gateway/cold-start.md.
  *
  * Owns: nothing; the token bucket is a part of its backend. Time is passed in.
  */
--- a/gateway/policy/region_plan.h
+++ b/gateway/policy/region_plan.h
@@ -13,7 +13,7 @@
  *  - Requests with large answers leave only for what exceeds 0.88 of the slots.
  * Reason: an object that moves runs cold where it goes, and the platform bounds how fast a region's
  * traffic may move; a fast plan sent objects home as soon as demand fell and refused them at the
- * next rise (quiet-1: 8.4% refused; with the peak remembered 0.1%). docs/design/choice-platform.md.
+ * next rise (quiet-1: 8.4% refused; with the peak remembered 0.1%). docs/design/gateway/choice.md.
  *
  * Owns: region_plan_t, a part of its service. Relies on the topology for the number of regions;
  * time is passed in.
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -12,7 +12,7 @@
 enum {
     OBJECT_SEED = 61, /* any number; the same on every instance */
     /* Uptime after which the list of instances can be relied on for cold starts: several heartbeats
-     * (0.4 s each) have come by then. Chosen, not measured (docs/design/cold.md). */
+     * (0.4 s each) have come by then. Chosen, not measured (docs/design/gateway/cold-start.md). */
     SETTLED_AFTER_MS = 2500,
 };
 
--- a/gateway/state/catalog.c
+++ b/gateway/state/catalog.c
@@ -10,7 +10,7 @@
 #include "wire/client.h"
 
 /* Added to the cold time of a service for backends whose data hall opens again: their own entries
- * tell later that they are cold. Chosen, not measured (docs/design/cold.md). */
+ * tell later that they are cold. Chosen, not measured (docs/design/gateway/cold-start.md). */
 enum { REOPEN_MARGIN_MS = 500 };
 
 void
