--- a/bin/gateway.c
+++ b/bin/gateway.c
@@ -1,8 +1,15 @@
-/* irisstall-gateway: an entry instance on the users' platform. */
+/*
+ * irisstall-gateway: an instance on the users' platform.
+ *
+ * Reads the command line and the settings, joins the gateway with the platform's adapter, and turns
+ * signals and changes of the settings file into calls of gateway.h.
+ */
+#include <errno.h>
 #include <getopt.h>
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
+#include <string.h>
 #include <sys/stat.h>
 
 #include <uv.h>
@@ -14,14 +21,18 @@
 #include "platform/objects.h"
 #include "platform/store.h"
 
-enum { EXIT_SETTINGS = 2, SETTINGS_CHECK_MS = 2000 };
+enum {
+    EXIT_SETTINGS = 2,
+    SETTINGS_CHECK_MS = 2000, /* the file may change without a signal. Chosen, not measured */
+};
 
 static const char *const settings_variable = "IRISSTALL_SETTINGS";
 
 typedef struct {
     uv_loop_t *loop;
     const char *path;
-    struct timespec changed;
+    struct timespec changed; /* of the settings file, when it was last read */
+    bool unreadable;         /* the settings file could not be looked at */
     gateway_t *gateway;
 } process_t;
 
@@ -71,7 +82,11 @@
 {
     process_t *process = timer->data;
     struct stat info;
-    if (stat(process->path, &info) != 0)
+    const bool unreadable = stat(process->path, &info) != 0;
+    if (unreadable && !process->unreadable)
+        LOG_WARN("settings file not readable: path=%s err=%s", process->path, strerror(errno));
+    process->unreadable = unreadable;
+    if (unreadable)
         return;
     if (info.st_mtim.tv_sec == process->changed.tv_sec &&
         info.st_mtim.tv_nsec == process->changed.tv_nsec)
@@ -124,60 +139,81 @@
     return EXIT_SUCCESS;
 }
 
-int
-main(int argc, char **argv)
+typedef struct {
+    const char *path;
+    log_level_t level;
+    bool only_test;
+} options_t;
+
+/* True if the program goes on; else `*status` is its exit status. */
+static bool
+parse_options(int argc, char **argv, options_t *out, int *status)
 {
     static const struct option options[] = {
         {"config", required_argument, NULL, 'c'}, {"log", required_argument, NULL, 'l'},
         {"test", no_argument, NULL, 't'},         {"help", no_argument, NULL, 'h'},
         {"version", no_argument, NULL, 'V'},      {NULL, 0, NULL, 0},
     };
-    static gateway_settings_t settings;
-    const char *path = getenv(settings_variable);
-    log_level_t level = LOG_LEVEL_INFO;
-    bool only_test = false;
     int option;
     while ((option = getopt_long(argc, argv, "c:l:thV", options, NULL)) != -1) {
         switch (option) {
         case 'c':
-            path = optarg;
+            out->path = optarg;
             break;
         case 'l':
-            if (!log_level_parse(optarg, &level)) {
+            if (!log_level_parse(optarg, &out->level)) {
                 fprintf(stderr, "irisstall-gateway: --log: unknown level '%s'\n", optarg);
-                return EXIT_SETTINGS;
+                *status = EXIT_SETTINGS;
+                return false;
             }
             break;
         case 't':
-            only_test = true;
+            out->only_test = true;
             break;
         case 'h':
             usage(stdout);
-            return EXIT_SUCCESS;
+            *status = EXIT_SUCCESS;
+            return false;
         case 'V':
             puts(IRISSTALL_VERSION);
-            return EXIT_SUCCESS;
+            *status = EXIT_SUCCESS;
+            return false;
         default:
             usage(stderr);
-            return EXIT_SETTINGS;
+            *status = EXIT_SETTINGS;
+            return false;
         }
     }
+    return true;
+}
+
+static int
+fail(const err_t *err, int status)
+{
+    fprintf(stderr, "irisstall-gateway: %s: %s\n", err_name(err->code), err->detail);
+    return status;
+}
+
+int
+main(int argc, char **argv)
+{
+    static gateway_settings_t settings; /* too large for the stack */
+    options_t options = {.path = getenv(settings_variable), .level = LOG_LEVEL_INFO};
     err_t err = {0};
-    if (path == NULL) {
+    int status;
+    if (!parse_options(argc, argv, &options, &status))
+        return status;
+    if (options.path == NULL) {
         fputs("irisstall-gateway: no settings: give --config or set IRISSTALL_SETTINGS\n", stderr);
         return EXIT_SETTINGS;
     }
-    if (!gateway_settings_load(path, &settings, &err)) {
-        fprintf(stderr, "irisstall-gateway: %s: %s\n", err_name(err.code), err.detail);
-        return EXIT_SETTINGS;
-    }
-    if (only_test)
+    if (!gateway_settings_load(options.path, &settings, &err))
+        return fail(&err, EXIT_SETTINGS);
+    if (options.only_test)
         return EXIT_SUCCESS;
-    if (!log_open_stdout(level, &err)) {
-        fprintf(stderr, "irisstall-gateway: %s: %s\n", err_name(err.code), err.detail);
-        return EXIT_FAILURE;
-    }
-    const int status = run(path, &settings);
+    if (!log_open_stdout(options.level, &err))
+        return fail(&err, EXIT_FAILURE);
+    status = run(options.path, &settings);
     log_close();
     return status;
 }
--- a/gateway/state/store_watch.h
+++ b/gateway/state/store_watch.h
@@ -5,8 +5,8 @@
  * on to the others (view_relay.h). One alone could be refused in silence, which is noticed only
  * when its watch runs out after 3 s. An instance that hears of no peer with a recent answer from
  * the store watches it itself, so that no instance depends on another. A started instance lists
- * each kind once, whoever watches. docs/design/gateway/overview.md. Also tells whether the store fails this
- * instance, and whether it was down for all of them.
+ * each kind once, whoever watches. docs/design/gateway/overview.md. Also tells whether the store
+ * fails this instance, and whether it was down for all of them.
  *
  * Owns the calls to the store and what is learned of its state. Relies on views.h for what it
  * fills, on membership/members.h for the other instances, on the adapter's store port.
--- a/wire/listener.h
+++ b/wire/listener.h
@@ -3,7 +3,8 @@
  *
  * libh2o's server is not used on the request path: it does not read a connection while a handler
  * works (a caller that leaves goes unnoticed), has one timeout for slow heads and idle
- * connections, and cannot close idle connections on a planned stop (docs/design/gateway/overview.md).
+ * connections, and cannot close idle connections on a planned stop
+ * (docs/design/gateway/overview.md).
  *
  * One request a connection at a time. The handler is called with the whole request and answers
  * through wire_respond_*(). The request lives until the answer has ended, was aborted, or the
