--- a/base/clock.h
+++ b/base/clock.h
@@ -1,9 +1,10 @@
 /*
  * Time sources.
  *
- * Every decision takes its time from an iris_clock_t, so that tests pause and advance it. The
- * steady time counts suspension (CLOCK_BOOTTIME) and is read afresh at each call: a loop's
- * cached time would make a process that was stopped believe its authority is still current.
+ * The entry's decisions take their time from an iris_clock_t, so that tests pause and advance it;
+ * the gateway's get the loop's time as an argument. The steady time counts suspension
+ * (CLOCK_BOOTTIME) and is read afresh at each call: a loop's cached time would make a process that
+ * was stopped believe its authority is still current.
  */
 #pragma once
 
--- /dev/null
+++ b/base/tcp.c
@@ -0,0 +1,40 @@
+#include <errno.h>
+#include <netinet/in.h>
+#include <netinet/tcp.h>
+#include <string.h>
+#include <sys/socket.h>
+
+#define LOG_MODULE "tcp"
+#include "base/log.h"
+#include "base/tcp.h"
+
+bool
+tcp_listen(uv_tcp_t *tcp, const addr_t *addr, int backlog, uv_connection_cb cb, uint16_t *port,
+           err_t *err)
+{
+    int rc = uv_tcp_bind(tcp, &addr->sa, 0);
+    if (rc == 0)
+        rc = uv_listen((uv_stream_t *)tcp, backlog, cb);
+    if (rc != 0) {
+        char text[ADDR_TEXT_MAX];
+        err_set(err, ERR_SYSTEM, "cannot listen on %s: %s", addr_format(addr, text),
+                uv_strerror(rc));
+        uv_close((uv_handle_t *)tcp, NULL);
+        return false;
+    }
+    addr_t bound;
+    int len = sizeof(bound);
+    uv_tcp_getsockname(tcp, &bound.sa, &len);
+    *port = addr_port(&bound);
+    return true;
+}
+
+void
+tcp_set_user_timeout(uv_tcp_t *tcp, int ms)
+{
+    uv_os_fd_t fd;
+    if (uv_fileno((uv_handle_t *)tcp, &fd) != 0)
+        return; /* closed meanwhile: its callback tells */
+    if (setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ms, sizeof(ms)) != 0)
+        LOG_WARN("user timeout not set: err=%s", strerror(errno));
+}
--- a/entry/http/fetch.c
+++ b/entry/http/fetch.c
@@ -76,7 +76,6 @@
     fetch->max_body = conf->max_body;
     const http_call_conf_t call = {
         .target = conf->target,
-        .fresh = conf->fresh,
         .timeout_ms = conf->timeout_ms,
         .request = head,
         .request_len = head_len + conf->body.len,
--- a/entry/http/fetch.h
+++ b/entry/http/fetch.h
@@ -19,7 +19,6 @@
     str_t body;
     uint64_t timeout_ms;
     size_t max_body;
-    bool fresh;
 } fetch_conf_t;
 
 typedef struct fetch fetch_t;
--- a/entry/http/server.c
+++ b/entry/http/server.c
@@ -8,6 +8,7 @@
 
 #define LOG_MODULE "http"
 #include "base/log.h"
+#include "base/tcp.h"
 #include "base/xmalloc.h"
 #include "entry/http/server.h"
 
@@ -81,22 +82,9 @@
 static bool
 listen_on(http_server_t *server, uv_loop_t *loop, const addr_t *addr, err_t *err)
 {
-    char text[ADDR_TEXT_MAX];
     uv_tcp_init(loop, &server->listener);
     server->listener.data = server;
-    int rc = uv_tcp_bind(&server->listener, &addr->sa, 0);
-    if (rc == 0)
-        rc = uv_listen((uv_stream_t *)&server->listener, LISTEN_BACKLOG, on_accept);
-    if (rc != 0) {
-        err_set(err, ERR_SYSTEM, "cannot listen on %s: %s", addr_format(addr, text),
-                uv_strerror(rc));
-        return false;
-    }
-    addr_t bound;
-    int len = sizeof(bound);
-    uv_tcp_getsockname(&server->listener, &bound.sa, &len);
-    server->port = addr_port(&bound);
-    return true;
+    return tcp_listen(&server->listener, addr, LISTEN_BACKLOG, on_accept, &server->port, err);
 }
 
 http_server_t *
@@ -107,10 +95,8 @@
     server->handler = handler;
     server->ctx = ctx;
     server->max_connections = conf->max_connections;
-    if (!listen_on(server, loop, &conf->addr, err)) {
-        uv_close((uv_handle_t *)&server->listener, NULL);
+    if (!listen_on(server, loop, &conf->addr, err))
         return NULL; /* the process exits; the handle lives until then */
-    }
     h2o_config_init(&server->config);
     server->config.max_request_entity_size = conf->max_body;
     server->config.http1.req_timeout = conf->head_timeout_ms;
--- a/gateway/membership/heartbeat.c
+++ b/gateway/membership/heartbeat.c
@@ -18,6 +18,14 @@
     return addr_eq(peer, &heartbeat->conf.settings->peer);
 }
 
+/* In a large fleet instances of other regions are heard only now and then. */
+static bool
+is_heard_often(const heartbeat_t *heartbeat, const member_t *member)
+{
+    return heartbeat->conf.members->count <= MEMBERS_MESH ||
+           member->region == heartbeat->conf.router->region;
+}
+
 /* Keeps the instance's own member up to date. */
 static void
 update_self(heartbeat_t *heartbeat, uint64_t now_ms)
@@ -96,11 +104,27 @@
     }
 }
 
+/* Logs the members that count as lost from now on. */
+static void
+log_lost(heartbeat_t *heartbeat, uint64_t now_ms)
+{
+    for (size_t i = 0; i < heartbeat->conf.members->count; i++) {
+        member_t *member = &heartbeat->conf.members->items[i];
+        if (!member->logged_living || member_alive(member, now_ms))
+            continue;
+        member->logged_living = false;
+        if (is_heard_often(heartbeat, member))
+            LOG_INFO("instance lost: instance=%s hall=%s silent_ms=%llu", member->instance.ptr,
+                     member->hall.ptr, (unsigned long long)(now_ms - member->heard_ms));
+    }
+}
+
 void
 heartbeat_tick(heartbeat_t *heartbeat, uint64_t now_ms)
 {
     const uint32_t interval_ms =
         members_interval_ms(heartbeat->conf.members, heartbeat->conf.router->region, now_ms);
+    log_lost(heartbeat, now_ms);
     if (now_ms - heartbeat->sent_ms + EARLY_MS >= interval_ms)
         heartbeat_send(heartbeat, now_ms);
 }
@@ -146,9 +170,7 @@
            const Iris__GatewayHeartbeat *message, uint64_t now_ms)
 {
     const bool restarted = member->heard && member->incarnation != message->incarnation;
-    /* In a large fleet instances of other regions are heard only now and then. */
-    const bool expected = heartbeat->conf.members->count <= MEMBERS_MESH || !member->heard ||
-                          member->region == heartbeat->conf.router->region;
+    const bool expected = !member->heard || is_heard_often(heartbeat, member);
     if (restarted || (expected && !member_alive(member, now_ms)))
         LOG_INFO("instance heard: instance=%s hall=%s silent_ms=%llu restarted=%d",
                  message->instance, message->place,
@@ -172,6 +194,7 @@
     log_change(heartbeat, member, message, now_ms);
     member->heard = true;
     member->heard_ms = now_ms;
+    member->logged_living = true;
     member->instance = sender.instance;
     member->hall = sender.hall;
     member->region = region_of(heartbeat, &sender.hall);
--- a/gateway/membership/members.h
+++ b/gateway/membership/members.h
@@ -68,6 +68,7 @@
     uint32_t region_members; /* living members of its region, as it counts them */
     uint32_t interval_ms;    /* between its heartbeats, 0 if not known */
     uint64_t sent_ms;        /* time of our last heartbeat to it */
+    bool logged_living;      /* the log says that it lives */
 } member_t;
 
 typedef struct {
--- a/peer/link.c
+++ b/peer/link.c
@@ -1,21 +1,21 @@
-#include <netinet/in.h>
-#include <netinet/tcp.h>
 #include <stdlib.h>
 #include <string.h>
-#include <sys/socket.h>
 
 #define LOG_MODULE "peer"
 #include "base/counter.h"
 #include "base/log.h"
+#include "base/tcp.h"
 #include "base/xmalloc.h"
 #include "peer/link.h"
 
 enum {
     HEADER_SIZE = 4,
     READ_CHUNK = 65536,
-    BACKLOG = 256,
-    INCOMING_MAX = 4096,
-    USER_TIMEOUT_MS = 1500, /* unacknowledged bytes break a connection after this time */
+    BACKLOG = 256,       /* connections waiting to be accepted. Chosen */
+    INCOMING_MAX = 4096, /* connections from peers: above the fleet to design for (1,400) */
+    /* Unacknowledged bytes break a connection after this time, so that a peer without power does
+     * not hold messages up. Chosen below the 1.8 s after which it counts as lost. */
+    USER_TIMEOUT_MS = 1500,
 };
 
 struct peer_conn {
@@ -239,10 +239,7 @@
     conn->connected = true;
     conn->progress_ms = uv_now(conn->hub->loop);
     uv_tcp_nodelay(&conn->tcp, 1);
-    uv_os_fd_t fd;
-    const int user_timeout = USER_TIMEOUT_MS;
-    if (uv_fileno((uv_handle_t *)&conn->tcp, &fd) == 0)
-        setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout, sizeof(user_timeout));
+    tcp_set_user_timeout(&conn->tcp, USER_TIMEOUT_MS);
     uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read);
     flush(conn);
 }
@@ -284,8 +281,10 @@
 on_accept(uv_stream_t *listener, int status)
 {
     peer_hub_t *hub = listener->data;
-    if (status != 0)
+    if (status != 0) {
+        LOG_WARN("peer not accepted: port=%u err=%s", hub->port, uv_strerror(status));
         return;
+    }
     peer_conn_t *conn = new_conn(hub);
     hub->incoming_count++;
     if (uv_accept(listener, (uv_stream_t *)&conn->tcp) != 0 || hub->incoming_count > INCOMING_MAX) {
@@ -313,20 +312,8 @@
     hub->messages = counter_get("irisstall_peer_messages_total", NULL, "Messages sent to peers.");
     uv_tcp_init(loop, &hub->listener);
     hub->listener.data = hub;
-    int rc = uv_tcp_bind(&hub->listener, &listen->sa, 0);
-    if (rc == 0)
-        rc = uv_listen((uv_stream_t *)&hub->listener, BACKLOG, on_accept);
-    if (rc != 0) {
-        char text[ADDR_TEXT_MAX];
-        err_set(err, ERR_SYSTEM, "cannot listen on %s: %s", addr_format(listen, text),
-                uv_strerror(rc));
-        uv_close((uv_handle_t *)&hub->listener, NULL);
-        return NULL;
-    }
-    addr_t bound;
-    int len = sizeof(bound);
-    uv_tcp_getsockname(&hub->listener, &bound.sa, &len);
-    hub->port = addr_port(&bound);
+    if (!tcp_listen(&hub->listener, listen, BACKLOG, on_accept, &hub->port, err))
+        return NULL; /* the process exits; the handle lives until then */
     return hub;
 }
 
--- a/peer/link.h
+++ b/peer/link.h
@@ -1,10 +1,12 @@
 /*
- * Connections between entry instances: length-prefixed protobuf frames over TCP.
+ * Connections between instances of one program: length-prefixed protobuf frames over TCP.
  *
  * One outgoing connection a peer, opened on first use and again after a failure; answers come
  * back on the connection that brought the question. Delivery is not guaranteed: every message
  * is idempotent and repeated by its sender's next round. A frame that is too long, truncated,
  * malformed or of a newer schema closes its connection and is counted.
+ *
+ * Owns the connections. Relies on libuv and on peer.proto for the messages; both programs use it.
  */
 #pragma once
 
@@ -22,17 +24,20 @@
 
 enum {
     PEER_SCHEMA = 1,
-    PEER_FRAME_MAX = 2 << 20,
+    PEER_FRAME_MAX = 2 << 20,   /* bytes; a whole view has about 1 MB at most */
     PEER_BACKLOG_MAX = 8 << 20, /* unsent bytes a connection may hold */
 };
 
 typedef void (*peer_cb_t)(void *ctx, peer_conn_t *conn, const Iris__Envelope *message);
 
+/* NULL with an error if the port cannot be opened; port 0 lets the system choose. Lives as long as
+ * its process. */
 peer_hub_t *peer_hub_start(uv_loop_t *loop, const addr_t *listen, peer_cb_t cb, void *ctx,
                            err_t *err);
 uint16_t peer_hub_port(const peer_hub_t *hub);
 /* Sends to a peer's listening address; drops the message if too much is waiting. */
 void peer_send(peer_hub_t *hub, const addr_t *to, const Iris__Envelope *message);
+/* Answers on the connection that brought the message. */
 void peer_reply(peer_conn_t *conn, const Iris__Envelope *message);
 /* Closes outgoing connections unused for `idle_ms`. */
 void peer_hub_sweep(peer_hub_t *hub, uint64_t idle_ms);
--- a/wire/client.c
+++ b/wire/client.c
@@ -1,18 +1,18 @@
-#include <netinet/in.h>
-#include <netinet/tcp.h>
 #include <stdlib.h>
 #include <string.h>
 #include <strings.h>
-#include <sys/socket.h>
 
 #include <http_parser.h>
 
+#include "base/tcp.h"
 #include "base/xmalloc.h"
 #include "wire/client_conn.h"
 
 enum {
     READ_SIZE = 65536,
-    USER_TIMEOUT_MS = 1200, /* unacknowledged bytes break the connection after this time */
+    /* Unacknowledged bytes break the connection after this time, so that a backend without power is
+     * noticed. Chosen, not measured. */
+    USER_TIMEOUT_MS = 1200,
     MS_PER_S = 1000,
 };
 
@@ -306,10 +306,7 @@
     }
     uv_timer_stop(&conn->timer);
     uv_tcp_nodelay(&conn->tcp, 1);
-    uv_os_fd_t fd;
-    const int user_timeout = USER_TIMEOUT_MS;
-    if (uv_fileno((uv_handle_t *)&conn->tcp, &fd) == 0)
-        setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout, sizeof(user_timeout));
+    tcp_set_user_timeout(&conn->tcp, USER_TIMEOUT_MS);
     uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read);
     send_request(conn);
 }
--- a/wire/client_conn.h
+++ b/wire/client_conn.h
@@ -1,4 +1,6 @@
-/* Inside of the client: a connection to a server, and its pool. Used by client.c and pool.c only.
+/*
+ * Client connection: a connection to a backend server or to the store, and its pool. Inside of the
+ * client; used by client.c (calls and answers) and pool.c (which connection) only.
  */
 #pragma once
 
--- a/wire/fetch.c
+++ b/wire/fetch.c
@@ -4,6 +4,7 @@
 #include "base/xmalloc.h"
 #include "wire/fetch.h"
 
+/* To the store, which answers within milliseconds. Chosen, not measured. */
 enum { CONNECT_TIMEOUT_MS = 1000, IDLE_MAX_MS = 8000 };
 
 typedef struct {
--- a/wire/fetch.h
+++ b/wire/fetch.h
@@ -1,4 +1,9 @@
-/* Small calls whose whole answer is collected in memory. */
+/*
+ * Small calls whose whole answer is collected in memory, for the platform's store.
+ *
+ * Relies on client.h. The entry's fetch (entry/http/fetch.h) does the same on libh2o's client; the
+ * two programs share no HTTP library, so there is nothing to merge.
+ */
 #pragma once
 
 #include "wire/client.h"
--- a/wire/head.h
+++ b/wire/head.h
@@ -1,7 +1,8 @@
 /*
  * The head of an HTTP/1.1 message: start line and header fields, owned in one buffer.
  *
- * Filled by the parser callbacks of listener.c and client.c, which may deliver a field in pieces.
+ * Filled by the parser callbacks of request_reader.c and client.c, which may deliver a field in
+ * pieces.
  */
 #pragma once
 
--- a/wire/listener.c
+++ b/wire/listener.c
@@ -6,6 +6,7 @@
 
 #define LOG_MODULE "listener"
 #include "base/log.h"
+#include "base/tcp.h"
 #include "base/xmalloc.h"
 #include "wire/request_reader.h"
 
@@ -97,20 +98,8 @@
     listener->on_answered = request_reader_next;
     uv_tcp_init(loop, &listener->tcp);
     listener->tcp.data = listener;
-    int rc = uv_tcp_bind(&listener->tcp, &addr->sa, 0);
-    if (rc == 0)
-        rc = uv_listen((uv_stream_t *)&listener->tcp, LISTEN_BACKLOG, on_accept);
-    if (rc != 0) {
-        char text[ADDR_TEXT_MAX];
-        err_set(err, ERR_SYSTEM, "cannot listen on %s: %s", addr_format(addr, text),
-                uv_strerror(rc));
-        uv_close((uv_handle_t *)&listener->tcp, NULL);
+    if (!tcp_listen(&listener->tcp, addr, LISTEN_BACKLOG, on_accept, &listener->port, err))
         return NULL; /* the process exits; the handle lives until then */
-    }
-    addr_t bound;
-    int len = sizeof(bound);
-    uv_tcp_getsockname(&listener->tcp, &bound.sa, &len);
-    listener->port = addr_port(&bound);
     uv_timer_init(loop, &listener->timer);
     listener->timer.data = listener;
     uv_timer_start(&listener->timer, on_check, CHECK_EVERY_MS, CHECK_EVERY_MS);
--- a/wire/pool.c
+++ b/wire/pool.c
@@ -3,7 +3,9 @@
 #include "base/xmalloc.h"
 #include "wire/client_conn.h"
 
-enum { KEEP_ALIVE_MARGIN_MS = 800 }; /* taken off the other side's announced idle time */
+/* Taken off the idle time that the other side announces, which it counts in whole seconds. Chosen,
+ * not measured. */
+enum { KEEP_ALIVE_MARGIN_MS = 800 };
 
 void
 wire_pool_release(wire_pool_t *pool)
