--- a/entry/admin.c
+++ b/entry/admin.c
@@ -7,8 +7,9 @@
 #include <jansson.h>
 
 #include "base/xmalloc.h"
-#include "entry/lookup_answer.h"
-#include "entry/node.h"
+#include "entry/path/lookup_answer.h"
+#include "entry/admin.h"
+#include "entry/readiness.h"
 #include "entry/table/ramp.h"
 
 static json_t *
--- a/entry/control.c
+++ b/entry/control.c
@@ -5,7 +5,10 @@
 #define LOG_MODULE "control"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "entry/node.h"
+#include "entry/control.h"
+#include "entry/gossip.h"
+#include "entry/probe.h"
+#include "entry/store.h"
 
 enum {
     ROUND_MS = 1000,
--- a/entry/gossip.c
+++ b/entry/gossip.c
@@ -11,7 +11,7 @@
 #define LOG_MODULE "gossip"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "entry/node.h"
+#include "entry/gossip.h"
 
 enum {
     RELAY_CHILDREN = 2,
--- a/entry/node.c
+++ b/entry/node.c
@@ -6,78 +6,28 @@
 #include "base/log.h"
 #include "base/mutate.h"
 #include "base/xmalloc.h"
-#include "entry/exchange.h"
+#include "entry/admin.h"
+#include "entry/control.h"
+#include "entry/gossip.h"
 #include "entry/node.h"
-#include "entry/route.h"
+#include "entry/path/outcome.h"
+#include "entry/path/route.h"
+#include "entry/path/serve.h"
+#include "entry/store.h"
 #include "entry/table/ramp.h"
 
+/* None of these was measured alone. */
 enum {
     TICK_MS = 100,
-    SLEEP_MS = 2000,
-    SURRENDER_MS = 2500,
-    QUEUE_TICK_MS = 5,
+    SURRENDER_MS = 2500, /* the others have heard of surrendered credits by then */
     BORROW_EVERY_MS = 50,
     STORE_TIMEOUT_MS = 3000,
     HEAD_TIMEOUT_MS = 10000,
-    CALLERS_MAX = 20000,
+    CALLERS_MAX = 20000, /* connections */
     ADMIN_MAX = 64,
     ADMIN_BODY_MAX = 1024,
-    BACKEND_CONNECTIONS = 100,
-    BACKEND_IDLE_MS = 5000,
-    ENTRY_CONNECTIONS = 64,
-    ENTRY_IDLE_MS = 5000,
 };
 
-uint64_t
-node_now(const node_t *node)
-{
-    return clock_steady_ms(node->clock);
-}
-
-uint64_t
-node_wall(const node_t *node)
-{
-    return clock_wall_ms(node->clock);
-}
-
-/* The loop stood still, e.g. the process was stopped: what it holds may be old. */
-static bool
-has_slept(const node_t *node)
-{
-    return node->ticked_ms != 0 && node_now(node) > node->ticked_ms + SLEEP_MS;
-}
-
-bool
-node_ready(const node_t *node)
-{
-    if (node->woke || has_slept(node))
-        return false;
-    return node->store_synced || (node->peer_synced && store_failing(node->follower));
-}
-
-http_target_t *
-node_backend_target(node_t *node, backend_t *backend)
-{
-    if (backend->user == NULL)
-        backend->user =
-            http_target_new(node->client, &backend->addr, BACKEND_CONNECTIONS, BACKEND_IDLE_MS);
-    return backend->user;
-}
-
-http_target_t *
-node_entry_target(node_t *node, const addr_t *addr)
-{
-    for (size_t i = 0; i < node->entry_target_count; i++) {
-        if (addr_eq(http_target_addr(node->entry_targets[i]), addr))
-            return node->entry_targets[i];
-    }
-    http_target_t *target = http_target_new(node->client, addr, ENTRY_CONNECTIONS, ENTRY_IDLE_MS);
-    node->entry_targets = xrealloc(node->entry_targets,
-                                   (node->entry_target_count + 1) * sizeof(*node->entry_targets));
-    node->entry_targets[node->entry_target_count++] = target;
-    return target;
-}
-
 static void
 apply_table_to_region(node_t *node, const table_t *table)
 {
@@ -241,7 +191,7 @@
 on_tick(uv_timer_t *timer)
 {
     node_t *node = timer->data;
-    if (has_slept(node)) {
+    if (node_has_slept(node)) {
         LOG_WARN("woke up: slept_ms=%lu", (unsigned long)(node_now(node) - node->ticked_ms));
         node->woke = true;
         node->woke_ms = node_now(node);
@@ -249,7 +199,7 @@
     }
     node->ticked_ms = node_now(node);
     control_tick(node);
-    exchange_sweep(node);
+    outcome_sweep(node);
     if (node->leaving)
         stop_if_done(node);
 }
@@ -268,13 +218,6 @@
         uv_timer_stop(timer);
 }
 
-void
-node_watch_queue(node_t *node)
-{
-    if (!uv_is_active((const uv_handle_t *)&node->queue_tick))
-        uv_timer_start(&node->queue_tick, on_queue_tick, QUEUE_TICK_MS, QUEUE_TICK_MS);
-}
-
 static void
 register_counters(node_counters_t *c)
 {
@@ -356,6 +299,7 @@
     uv_timer_start(&node->tick, on_tick, TICK_MS, TICK_MS);
     uv_timer_init(loop, &node->queue_tick);
     node->queue_tick.data = node;
+    node->on_queue_tick = on_queue_tick;
     LOG_INFO("entry started: name=%s region=%s place=%s port=%u peer_port=%u admin_port=%u",
              settings->name.ptr, settings->region.ptr, settings->place.ptr,
              http_server_port(node->server), peer_hub_port(node->hub),
--- a/entry/path/attempt.c
+++ b/entry/path/attempt.c
@@ -1,4 +1,3 @@
-/* One try of a request at a backend server or at another entry. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,7 +7,7 @@
 #include "base/log.h"
 #include "base/mutate.h"
 #include "base/xmalloc.h"
-#include "entry/exchange.h"
+#include "entry/path/attempt.h"
 
 enum {
     STATUS_SHED = 503,
@@ -140,7 +139,8 @@
     if (attempt->backend != NULL)
         note_head(attempt, head);
     if (!attempt->said_not_run)
-        attempt->head_taken = exchange_on_head(attempt->exchange, attempt, head);
+        attempt->head_taken =
+            attempt->exchange->attempt_cbs->on_head(attempt->exchange, attempt, head);
 }
 
 static void
@@ -148,7 +148,7 @@
 {
     attempt_t *attempt = ctx;
     if (attempt->head_taken)
-        exchange_on_data(attempt->exchange, attempt, ptr, len);
+        attempt->exchange->attempt_cbs->on_data(attempt->exchange, attempt, ptr, len);
 }
 
 static void
@@ -170,7 +170,7 @@
         if (attempt->backend != NULL)
             backend_failed(attempt->backend, node_now(attempt->node));
     }
-    exchange_on_end(x, attempt, &out);
+    x->attempt_cbs->on_end(x, attempt, &out);
     finish(attempt, whole || !sent, out.whole ? "ran" : out.not_run ? "not_run" : "unknown");
 }
 
--- a/entry/path/claims.c
+++ b/entry/path/claims.c
@@ -1,10 +1,3 @@
-/*
- * Keys of requests that may not be repeated: who may run the request.
- *
- * A minted key names its owner. A key of the caller's own is claimed by a conditional create in
- * the store; whoever claimed it first is its owner for good. A request whose key another entry
- * owns is sent there, and never run here.
- */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,8 +8,9 @@
 #define LOG_MODULE "claims"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "entry/exchange.h"
-#include "entry/route.h"
+#include "entry/path/answer.h"
+#include "entry/path/claims.h"
+#include "entry/path/route.h"
 
 enum { CLAIM_NAME_SIZE = 40, CLAIM_TRIES = 4 };
 
@@ -84,7 +78,7 @@
 {
     const instance_t *instance = instances_find(x->node->instances, owner);
     if (instance == NULL || instance->role != ROLE_ENTRY || x->hop != HOP_CALLER) {
-        exchange_answer_unknown(x, 502, "owner_gone");
+        answer_unknown(x, 502, "owner_gone");
         return;
     }
     route_to_entry(x, &instance->addr, HOP_OWNER);
@@ -112,7 +106,7 @@
     x->resolving = false;
     if (x->req != NULL)
         return x;
-    exchange_refuse(x, 503, "caller_left");
+    answer_refuse(x, 503, "caller_left");
     return NULL;
 }
 
@@ -121,7 +115,7 @@
 {
     exchange_t *x = end_claim(claim);
     if (x != NULL)
-        exchange_refuse(x, 503, error);
+        answer_refuse(x, 503, error);
 }
 
 static void
@@ -159,7 +153,7 @@
     }
     drop_record(x);
     if (same_instance) /* by a former incarnation, or so long ago that it is forgotten */
-        exchange_answer_unknown(x, 502, "owner_gone");
+        answer_unknown(x, 502, "owner_gone");
     else
         forward_to_owner(x, name_str(&owner.instance));
 }
@@ -232,18 +226,18 @@
 answer_from_record(exchange_t *x, key_record_t *record)
 {
     if (record->fingerprint != fingerprint(x)) {
-        exchange_refuse(x, 422, "key_reused_for_another_request");
+        answer_refuse(x, 422, "key_reused_for_another_request");
         return;
     }
     switch (record->state) {
     case KEY_DONE:
-        exchange_replay(x, record);
+        answer_replay(x, record);
         return;
     case KEY_RUNNING:
-        exchange_answer_unknown(x, 409, "in_progress");
+        answer_unknown(x, 409, "in_progress");
         return;
     case KEY_UNKNOWN:
-        exchange_answer_unknown(x, 502, "outcome_unknown");
+        answer_unknown(x, 502, "outcome_unknown");
         return;
     case KEY_FREE:
         if (record->claimed)
@@ -264,17 +258,17 @@
         return;
     }
     if (minted->incarnation != node->incarnation) {
-        exchange_answer_unknown(x, 502, "owner_gone");
+        answer_unknown(x, 502, "owner_gone");
         return;
     }
     if (node_wall(node) > minted->expires_ms) {
-        exchange_answer_unknown(x, 410, "key_expired");
+        answer_unknown(x, 410, "key_expired");
         return;
     }
     key_record_t *record =
         key_book_add(node->keys, str_from(x->key), fingerprint(x), node_now(node));
     if (record == NULL)
-        exchange_refuse(x, 503, "too_many_keys");
+        answer_refuse(x, 503, "too_many_keys");
     else
         run(x, record);
 }
@@ -296,7 +290,7 @@
     minted_key_t minted;
     if (!is_clean(key)) {
         counter_add(node->counters.bad_requests, 1);
-        exchange_refuse(x, 400, key.len == 0 ? "idempotency_key_missing" : "bad_idempotency_key");
+        answer_refuse(x, 400, key.len == 0 ? "idempotency_key_missing" : "bad_idempotency_key");
         return;
     }
     memcpy(x->key, key.ptr, key.len);
@@ -308,7 +302,7 @@
     } else {
         record = key_book_add(node->keys, key, fingerprint(x), node_now(node));
         if (record == NULL)
-            exchange_refuse(x, 503, "too_many_keys");
+            answer_refuse(x, 503, "too_many_keys");
         else
             start_claim(x, record);
     }
--- a/entry/path/exchange.h
+++ b/entry/path/exchange.h
@@ -1,9 +1,10 @@
 /*
- * One request of a caller, from admission to its last byte.
+ * One request of a caller, from admission to its last byte: its state and its lifetime.
  *
- * The caller is told "not_run" only if no byte of the request was handed to a connection, or the
- * backend server itself said that it did not run it; everything else that fails is "unknown". An
- * answer that breaks off reaches the caller as a broken message.
+ * The files of this folder work on it in one direction: serve.c, arrival.c (start), claims.c
+ * (keys), outcome.c (what becomes of attempts), route.c (where it goes), attempt.c (one try),
+ * answer.c (what the caller gets). Freed once its caller, its attempts and its claim are gone.
+ * Relies on node_state.h.
  */
 #pragma once
 
@@ -11,12 +12,33 @@
 #include <stdint.h>
 
 #include "base/trace.h"
-#include "entry/node.h"
+#include "entry/node_state.h"
 
 enum { ATTEMPTS_MAX = 2, REQUEST_ID_MAX = 80 };
 
 typedef struct attempt attempt_t;
-typedef struct responder responder_t;
+
+/* Lives in the request's memory pool; tells the exchange when the request is gone. */
+typedef struct {
+    h2o_generator_t generator;
+    exchange_t *exchange; /* NULL once either is gone */
+} responder_t;
+
+typedef struct {
+    bool whole;   /* the answer is complete */
+    bool sent;    /* bytes of the request may have gone out */
+    bool not_run; /* the other side said so, or nothing was sent */
+    bool timed_out;
+    int status;
+} attempt_result_t;
+
+/* What an attempt tells its exchange. */
+typedef struct {
+    /* False if the answer is not wanted: another attempt has won. */
+    bool (*on_head)(exchange_t *x, attempt_t *attempt, const http_head_t *head);
+    void (*on_data)(exchange_t *x, attempt_t *attempt, const char *ptr, size_t len);
+    void (*on_end)(exchange_t *x, attempt_t *attempt, const attempt_result_t *result);
+} attempt_cbs_t;
 
 typedef struct {
     char *ptr;
@@ -55,6 +77,7 @@
     key_record_t *record; /* of a keyed request that this instance runs */
     char key[KEY_TEXT_MAX];
 
+    const attempt_cbs_t *attempt_cbs;
     attempt_t *attempts[ATTEMPTS_MAX];
     attempt_t *winner;
     const backend_t *tried;
@@ -81,48 +104,12 @@
     exchange_t *next;
 };
 
-/* Starts a request; answers it in every case. */
-void exchange_start(node_t *node, h2o_req_t *req);
-/* Final answers without a server's. Ends the exchange. */
-void exchange_refuse(exchange_t *x, int status, const char *error);
-void exchange_answer_unknown(exchange_t *x, int status, const char *error);
-/* Repeats a recorded outcome. */
-void exchange_replay(exchange_t *x, const key_record_t *record);
-/* No more tries: the answer is unknown if any attempt may have run, else not run. */
-void exchange_give_up(exchange_t *x, bool timed_out, const char *error);
+/* A new exchange among those of the node. */
+exchange_t *exchange_new(node_t *node, h2o_req_t *req);
+bool exchange_has_attempts(const exchange_t *x);
+/* Frees it if nothing needs it any more. */
+void exchange_free_if_done(exchange_t *x);
+/* Closes the record of its key, if it has one, with that state and the answer's status. */
+void exchange_set_record(exchange_t *x, key_state_t state, int status);
+/* What is measured of its request class; NULL if there are too many classes. */
 class_stats_t *exchange_class_stats(exchange_t *x);
-/* Notices callers that left and slow answers to hedge. */
-void exchange_sweep(node_t *node);
-
-/* attempt.c, to exchange.c */
-typedef struct {
-    backend_t *backend; /* NULL: another entry */
-    addr_t entry;
-    hop_t hop;
-    gate_row_t *row; /* admitted at the gate; NULL for another entry */
-    bool is_long;    /* admitted as a request with a long deadline */
-    const char *place;
-} attempt_conf_t;
-
-attempt_t *attempt_start(exchange_t *x, const attempt_conf_t *conf);
-/* Ends it early; its credit rests until the deadline if bytes may have gone out. */
-void attempt_cancel(attempt_t *attempt);
-void attempt_pause(attempt_t *attempt);
-void attempt_resume(attempt_t *attempt);
-const backend_t *attempt_backend(const attempt_t *attempt);
-
-typedef struct {
-    bool whole;   /* the answer is complete */
-    bool sent;    /* bytes of the request may have gone out */
-    bool not_run; /* the other side said so, or nothing was sent */
-    bool timed_out;
-    int status;
-} attempt_result_t;
-
-/* Callbacks of attempts. */
-bool exchange_on_head(exchange_t *x, attempt_t *attempt, const http_head_t *head);
-void exchange_on_data(exchange_t *x, attempt_t *attempt, const char *ptr, size_t len);
-void exchange_on_end(exchange_t *x, attempt_t *attempt, const attempt_result_t *result);
-
-/* claims.c: decides who may run a keyed request; goes on with route_request() or an answer. */
-void claims_resolve(exchange_t *x, str_t key);
--- a/entry/path/headers.c
+++ b/entry/path/headers.c
@@ -3,7 +3,7 @@
 #include <strings.h>
 
 #include "base/xmalloc.h"
-#include "entry/headers.h"
+#include "entry/path/headers.h"
 
 static bool
 is_hop_by_hop(str_t name)
--- a/entry/path/lookup_answer.c
+++ b/entry/path/lookup_answer.c
@@ -5,7 +5,7 @@
 #define LOG_MODULE "lookup"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "entry/lookup_answer.h"
+#include "entry/path/lookup_answer.h"
 #include "entry/table/ramp.h"
 
 enum { SKIP_REFRESH_MS = 200, ENTRIES_REFRESH_MS = 250 };
--- a/entry/path/lookup_answer.h
+++ b/entry/path/lookup_answer.h
@@ -4,7 +4,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-#include "entry/node.h"
+#include "entry/node_state.h"
 
 enum { LOOKUP_ENTRIES = 3, LOOKUP_TEXT_MAX = 1024 };
 
--- a/entry/path/route.c
+++ b/entry/path/route.c
@@ -4,7 +4,9 @@
 #define LOG_MODULE "route"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "entry/route.h"
+#include "entry/path/answer.h"
+#include "entry/path/attempt.h"
+#include "entry/path/route.h"
 
 enum {
     QUEUE_MAX = 256,
@@ -276,7 +278,7 @@
     node_t *node = x->node;
     service_t *service = current_service(x);
     if (service == NULL) {
-        exchange_refuse(x, 503, "not_ready");
+        answer_refuse(x, 503, "not_ready");
         return;
     }
     if (try_local(x, service))
@@ -290,7 +292,7 @@
     if (no_share && x->hop == HOP_CALLER && try_remote(x, service, false))
         return;
     if (no_share || node->waiting_count >= QUEUE_MAX) {
-        exchange_give_up(x, false, no_share ? x->refusal : "queue_full");
+        answer_give_up(x, false, no_share ? x->refusal : "queue_full");
         return;
     }
     enqueue(x);
@@ -314,7 +316,7 @@
         return;
     route_dequeue(x);
     node->gave_up_ms = now;
-    exchange_give_up(x, now >= x->deadline_ms, x->refusal);
+    answer_give_up(x, now >= x->deadline_ms, x->refusal);
 }
 
 void
--- a/entry/path/route.h
+++ b/entry/path/route.h
@@ -4,7 +4,7 @@
  */
 #pragma once
 
-#include "entry/exchange.h"
+#include "entry/path/exchange.h"
 
 /* Starts an attempt, queues the request, or answers it. */
 void route_request(exchange_t *x);
--- a/entry/path/serve.c
+++ b/entry/path/serve.c
@@ -6,9 +6,10 @@
 #define LOG_MODULE "serve"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "entry/exchange.h"
-#include "entry/lookup_answer.h"
-#include "entry/node.h"
+#include "entry/path/arrival.h"
+#include "entry/path/lookup_answer.h"
+#include "entry/path/serve.h"
+#include "entry/readiness.h"
 #include "entry/table/ramp.h"
 
 enum { KEYS_PER_CALL_MAX = 100, STATUS_CAPPED = 503 };
@@ -107,7 +108,7 @@
     const str_t path = http_path(req);
     if (!str_starts_with(path, STR("/v1/")) ||
         http_header(req, STR("x-irisstall-service")).len > 0) {
-        exchange_start(node, req);
+        arrival_start(node, req);
         return;
     }
     if (str_eq(path, STR("/v1/lookup")))
@@ -117,5 +118,5 @@
     else if (str_eq(path, STR("/v1/health")))
         answer_health(node, req);
     else
-        exchange_start(node, req);
+        arrival_start(node, req);
 }
--- a/entry/probe.c
+++ b/entry/probe.c
@@ -11,7 +11,7 @@
 #define LOG_MODULE "probe"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "entry/node.h"
+#include "entry/probe.h"
 #include "entry/http/fetch.h"
 
 enum {
--- a/entry/store.c
+++ b/entry/store.c
@@ -13,7 +13,8 @@
 #define LOG_MODULE "store"
 #include "base/log.h"
 #include "base/xmalloc.h"
-#include "entry/node.h"
+#include "entry/gossip.h"
+#include "entry/store.h"
 
 enum {
     WATCHERS_PER_HALL = 2,
