--- a/base/log_ring.c
+++ b/base/log_ring.c
@@ -14,7 +14,7 @@
 typedef struct {
     char name[NAME_LEN];
     bucket_t bucket;
-    uint64_t dropped; /* not told yet */
+    uint64_t dropped; /* since the last line that counted them */
 } module_t;
 
 struct log_ring {
--- a/gateway/membership/directory.h
+++ b/gateway/membership/directory.h
@@ -1,7 +1,7 @@
 /*
- * Directory: which instances a caller is told to use.
+ * Directory: the instances that a caller may use.
  *
- * Decides: the instances named to a caller.
+ * Decides: the addresses in the directory's answer to a caller.
  * Inputs: the members, the caller's data hall and region, the time in milliseconds.
  * Rule: ready, living instances of the caller's data hall if there are any, else of its region,
  * else of all. One that is leaving or silent for 3.25 heartbeats is not named.
--- a/gateway/membership/heartbeat.h
+++ b/gateway/membership/heartbeat.h
@@ -1,7 +1,7 @@
 /*
- * Heartbeats between gateway instances: sends this instance's state, takes in the others'.
+ * Heartbeats between gateway instances: sends this instance's state and receives the others'.
  *
- * Owns whether this instance is ready or leaving as its peers are told, and the pace of the
+ * Owns the ready and leaving flags that peers get to see, and the pace of the
  * heartbeats. Relies on members.h for who gets one, on heartbeat_message.h for the message, on
  * view_relay.h to compare views, on peer/link.h for the connections.
  */
@@ -33,9 +33,9 @@
 
 /* The instance's own member exists afterwards. */
 void heartbeat_init(heartbeat_t *heartbeat, const heartbeat_conf_t *conf, uint64_t now_ms);
-/* Sets what the peers are told, from the next heartbeat on. */
+/* Sets the ready flag of the next heartbeats. */
 void heartbeat_set_ready(heartbeat_t *heartbeat, bool ready, uint64_t now_ms);
-/* The instance stops for good: the peers are told at once. */
+/* The instance is stopping: sends a heartbeat that says so at once. */
 void heartbeat_leave(heartbeat_t *heartbeat, uint64_t now_ms);
 /* Sends a heartbeat to the members whose turn it is. */
 void heartbeat_send(heartbeat_t *heartbeat, uint64_t now_ms);
--- a/gateway/path/access_log.h
+++ b/gateway/path/access_log.h
@@ -11,7 +11,7 @@
 #include "gateway/policy/final_answer.h"
 #include "gateway/policy/retry.h"
 
-/* What is told of a request that has ended. Names may be NULL where there are none. */
+/* A request that has ended. Names may be NULL where there are none. */
 typedef struct {
     str_t id;
     outcome_t outcome;
--- a/gateway/path/attempt.h
+++ b/gateway/path/attempt.h
@@ -64,7 +64,7 @@
 void attempt_start(attempt_t *attempt, const attempt_conf_t *conf);
 /* Records the outcome in the backend's health; at most once per attempt. */
 void attempt_record(attempt_t *attempt, bool failed);
-/* True if it is so slow that this speaks against the backend. */
+/* True if it is so slow that it counts as a failure of the backend. */
 bool attempt_is_slow(const attempt_t *attempt);
 /* Breaks it off without the callback and closes the connection. */
 void attempt_cancel(attempt_t *attempt);
--- a/gateway/policy/breaker.h
+++ b/gateway/policy/breaker.h
@@ -28,8 +28,8 @@
 void breaker_record_answer(breaker_t *breaker);
 /* A request is about to be sent; it is the probe if a suspension has ended. */
 void breaker_attempt_started(breaker_t *breaker);
-/* The last request under way has ended, with whatever result: a probe that was refused, or whose
- * caller has left, told nothing, and the next request may probe. */
+/* The last request under way has ended, with whatever result. A probe that the backend refused, or
+ * whose caller has left, has no result: the next request may probe again. */
 void breaker_attempts_ended(breaker_t *breaker);
 bool breaker_is_suspended(const breaker_t *breaker, uint64_t now_ms);
 /* True if a request may be sent: neither suspended nor waiting for its probe. */
--- a/gateway/policy/choice.c
+++ b/gateway/policy/choice.c
@@ -192,7 +192,8 @@
 
 /* Index of the replica that admits the request, `count` if none does. `rank` is the first one's
  * position in the order over all areas. A request about an object queues at the first replica that
- * lets it, rather than run without the object in memory; others queue only where nobody has room.
+ * lets it, rather than run without the object in memory; others queue only if no
+ * replica has room.
  */
 static size_t
 pick_replica(const choice_input_t *input, const candidate_t *replicas, size_t count, size_t rank,
--- a/gateway/policy/cold_start.c
+++ b/gateway/policy/cold_start.c
@@ -8,7 +8,7 @@
 /* Requests a second for a backend whose service is not in the configuration (yet). Chosen,
  * not measured. */
 #define UNKNOWN_RATE_PER_S 1.0
-/* Stands for no bound. */
+/* Used where the configuration sets no bound. */
 #define UNBOUNDED_RATE_PER_S 1e6
 /* Requests that may be sent at once. */
 #define BURST 1.0
--- a/gateway/policy/final_answer.c
+++ b/gateway/policy/final_answer.c
@@ -2,7 +2,7 @@
 
 #include <http_parser.h>
 
-/* When a refused caller is told to come back, in milliseconds. Measured together with LATER_SHARE
+/* Retry-After of refused requests, in milliseconds. Measured together with LATER_SHARE
  * of admission.c (commit ea47030), not alone. */
 enum { RETRY_AFTER_MS = 400 };
 
--- a/gateway/policy/final_answer.h
+++ b/gateway/policy/final_answer.h
@@ -1,9 +1,9 @@
 /*
- * Final answer: how a request ended, and what the caller of a request that is given up is told.
+ * Final answer: how a request ended, and the response to a request that is given up.
  *
- * Decides: status, and when to come back, of an answer of the gateway's own.
+ * Decides: status and Retry-After of a response that the gateway itself makes.
  * Inputs: why the request is given up, and whether an attempt at it may have run.
- * Rule: 503 with a time to come back promises that the request has not run and never will. It is
+ * Rule: 503 with a Retry-After promises that the request has not run and never will. It is
  * given only if no attempt may have run; otherwise the caller gets 502, or 504 at the deadline.
  * The answer is given at once: a request is never held back to delay the caller's retry.
  *
@@ -35,7 +35,7 @@
 
 typedef struct {
     int status;              /* HTTP */
-    uint32_t retry_after_ms; /* 0: the caller is not told when to come back */
+    uint32_t retry_after_ms; /* 0: no Retry-After */
     outcome_t outcome;       /* as counted and logged */
 } final_answer_t;
 
--- a/gateway/policy/health.h
+++ b/gateway/policy/health.h
@@ -10,7 +10,7 @@
  * so the rate must be high, and must stay low for a while before the objects move back.
  * In a large fleet one instance alone sends a backend too few requests to judge it. Instances
  * therefore send each other their outcomes in heartbeats, and agree on whom to avoid.
- * Measured: docs/design/gateway/choice.md, "Impaired backend servers" and "Tried and left".
+ * Measured: docs/design/gateway/choice.md, "Avoided backend servers" and "Tried and left".
  *
  * Owns: health_t, a part of its backend. Relies on nothing; time is passed in.
  */
--- a/gateway/policy/slow.h
+++ b/gateway/policy/slow.h
@@ -1,7 +1,7 @@
 /*
  * Slow answers: from when on an attempt counts as slow.
  *
- * Decides: the time after which an attempt is overdue, and whether that speaks against its backend
+ * Decides: the time after which an attempt is overdue, and whether that counts against its backend
  * server (health.h) and lets another backend have the request (retry.h).
  * Inputs: the route's latency objective and the median time of its answers, in milliseconds.
  * Rule: 3.9 times the median, but not less than the objective; 5 times the objective while no
@@ -29,5 +29,5 @@
     bool cold;           /* the backend is cold */
 } slow_input_t;
 
-/* True if the attempt is so slow that it speaks against its backend. */
+/* True if the attempt is so slow that it counts as a failure of its backend. */
 bool slow_counts_as_failure(const slow_input_t *input);
--- a/gateway/router.h
+++ b/gateway/router.h
@@ -64,7 +64,7 @@
 
 /* What the configuration refers to must outlive the router. */
 void router_init(router_t *router, uv_loop_t *loop, const router_conf_t *conf);
-/* Takes in a newer configuration. */
+/* Applies the configuration if it is newer. */
 void router_apply_config(router_t *router, const view_t *view);
 /* Regular work: demand, plans, membership, backends that are due for removal. */
 void router_tick(router_t *router, const members_t *members);
--- a/gateway/state/catalog.c
+++ b/gateway/state/catalog.c
@@ -113,7 +113,7 @@
                  (unsigned long long)revision);
 }
 
-/* Takes in a new or changed entry. */
+/* Applies a new or changed entry. */
 static void
 apply_entry(catalog_t *catalog, const view_item_t *item, uint64_t now_ms)
 {
--- a/gateway/state/catalog.h
+++ b/gateway/state/catalog.h
@@ -1,7 +1,7 @@
 /*
  * Catalog: the configuration in force and the backend servers, as the store's views say.
  *
- * Takes in what is newer in a view (view.h): configuration, list of backends, closed data halls.
+ * Applies what is newer in a view (view.h): configuration, list of backends, closed data halls.
  * Owns the configuration and the list of backends. Relies on the adapter's decoder to read objects,
  * on removal.h for backends that disappear and on cold_start.h for backends that turn cold.
  */
--- a/gateway/state/store_watch.h
+++ b/gateway/state/store_watch.h
@@ -16,7 +16,7 @@
 #include "gateway/membership/members.h"
 #include "gateway/state/views.h"
 
-/* Changes of one view, as the store told them. */
+/* Changes of one view, as a watch returned them. */
 typedef struct {
     view_kind_t kind;
     const store_item_t *items;
--- a/gateway/state/view_relay.c
+++ b/gateway/state/view_relay.c
@@ -7,8 +7,8 @@
 
 enum {
     REQUEST_EVERY_MS = 600, /* an instance asks for a view at most this often. Chosen */
-    /* A view that stays older than a peer's for this time is asked for: what is on its way has come
-     * by then. Chosen just above a heartbeat's interval (0.4 s). */
+    /* A view that stays older than a peer's for this time is asked for: changes on their way have
+     * arrived by then. Chosen just above a heartbeat's interval (0.4 s). */
     BEHIND_MS = 450,
     START_STORE_FIRST_MS = 700, /* the store has this time to give the views at start. Chosen */
     /* Bytes of changes that are sent to other regions; larger ones cost more there than a read of
@@ -189,7 +189,7 @@
     peer_send(relay->conf.hub, peer, &envelope);
 }
 
-/* True if it is time to ask a peer: what is on its way, or comes from the store, is waited for. */
+/* True if it is time to ask a peer: changes that are on their way get some time to arrive first. */
 static bool
 is_time_to_ask(view_relay_t *relay, view_kind_t kind)
 {
--- a/wire/head.h
+++ b/wire/head.h
@@ -14,7 +14,7 @@
 
 enum {
     WIRE_HEADERS_MAX = 100,
-    /* Lengths of a body that are not told beforehand. */
+    /* Lengths of a body that the head does not give. */
     WIRE_CHUNKED = -1,
     WIRE_UNTIL_CLOSE = -2, /* ends with its connection */
 };
--- a/wire/request_reader.h
+++ b/wire/request_reader.h
@@ -10,7 +10,7 @@
 
 #include "wire/server_conn.h"
 
-/* Takes in bytes as they come; may call the handler, and close the connection. */
+/* Parses bytes as they arrive; may call the handler, and close the connection. */
 void request_reader_feed(wire_conn_t *conn, const char *ptr, size_t len);
 /* The answer has ended: makes the connection ready for its next request, which may be here already.
  */
