--- a/entry/object_store/client.h
+++ b/entry/object_store/client.h
@@ -1,5 +1,5 @@
 /*
- * Client of the platform's object API, its watch and its instance list.
+ * Client of the entry's object store (docs/ENTRY-STORE.md): objects, watch, instance list.
  *
  * Every call is counted against a local budget first, so that a fleet of instances stays within
  * the store's rates. Errors are typed by what is known about a write:
--- a/gateway/membership/members.c
+++ b/gateway/membership/members.c
@@ -1,6 +1,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+#define LOG_MODULE "members"
+#include "base/log.h"
 #include "base/xmalloc.h"
 #include "gateway/membership/members.h"
 
@@ -26,8 +28,10 @@
         if (addr_eq(&members->items[i].peer, peer))
             return &members->items[i];
     }
-    if (members->count == MEMBERS_MAX)
+    if (members->count == MEMBERS_MAX) {
+        LOG_WARN("instance not kept: members=%zu", members->count);
         return NULL;
+    }
     if (members->count == members->size) {
         members->size = members->size > 0 ? members->size * 2 : ITEMS_START;
         members->items = xrealloc(members->items, members->size * sizeof(*members->items));
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Measures the product against yardsticks and the policies against each other:
+# Measures the entry, which the users' bench does not play, against yardsticks, and its policies
+# against each other:
 # build/bench.tsv (experiment, variant, class, metric, value, unit), printed aligned at the end.
 #
 #   SEEDS="1 2 3" SECONDS_EACH=10 SITES="bureau padana" scripts/bench.sh [look-ups|downloads|policies|goodput]
--- a/standin/backend.h
+++ b/standin/backend.h
@@ -1,6 +1,7 @@
 /*
  * A scripted backend server: reads requests and answers with whatever bytes its script chooses, so
- * that tests can make every kind of wrong answer.
+ * that tests can make every kind of wrong answer. For the gateway's tests and fake-site;
+ * fake-backend speaks the entry's protocol on libh2o and keeps a history for the fault campaign.
  */
 #pragma once
 
--- a/standin/fake_backend.c
+++ b/standin/fake_backend.c
@@ -1,5 +1,5 @@
 /*
- * fake-backend: a small stand-in that plays many backend servers in one process.
+ * fake-backend: a small stand-in that plays many backend servers of the entry in one process.
  *
  * Each has slots, a bounded queue, cold start, shedding, drain, cancellation, deadlines and a
  * health answer that can be made to lie. The request says how long it takes (?ms=) and how large
--- a/standin/fake_platform.c
+++ b/standin/fake_platform.c
@@ -1,5 +1,6 @@
 /*
- * fake-platform: a small stand-in for the platform's object API, for tests and demos.
+ * fake-platform: a small stand-in for the entry's object store, for make run and the fault
+ * campaign.
  *
  * Objects with versions, conditional writes, a watch, an instance list that lags, and the
  * store's call rates. POST /control switches faults: outage, delay_ms, lose_answers, list_lag_ms.
--- a/standin/store.h
+++ b/standin/store.h
@@ -1,6 +1,7 @@
 /*
  * A stand-in for the platform's metadata store: objects by kind and name, lists, watches and
- * conditional writes over HTTP, with the troubles that the real one has. For tests and the demo.
+ * conditional writes over HTTP, with the troubles that the real one has. For the gateway's tests
+ * and fake-site; fake-platform serves the entry's object API, for make run and the fault campaign.
  */
 #pragma once
 
