--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -287,7 +287,9 @@
     const heartbeat_conf_t heartbeat_conf = {
         .settings = settings,
         .members = &gateway->members,
-        .router = &gateway->router,
+        .services = &gateway->router.services,
+        .backends = &gateway->router.catalog.backends,
+        .region = gateway->router.region,
         .views = &gateway->views,
         .watch = &gateway->store_watch,
         .relay = &gateway->view_relay,
--- a/gateway/membership/heartbeat.c
+++ b/gateway/membership/heartbeat.c
@@ -23,7 +23,7 @@
 is_heard_often(const heartbeat_t *heartbeat, const member_t *member)
 {
     return heartbeat->conf.members->count <= MEMBERS_MESH ||
-           member->region == heartbeat->conf.router->region;
+           member->region == heartbeat->conf.region;
 }
 
 /* Keeps the instance's own member up to date. */
@@ -31,13 +31,13 @@
 update_self(heartbeat_t *heartbeat, uint64_t now_ms)
 {
     const gateway_settings_t *settings = heartbeat->conf.settings;
-    const services_t *services = &heartbeat->conf.router->services;
+    const services_t *services = heartbeat->conf.services;
     member_t *self = members_at(heartbeat->conf.members, &settings->peer);
     self->heard = true;
     self->heard_ms = now_ms;
     self->instance = settings->name;
     self->hall = settings->hall;
-    self->region = heartbeat->conf.router->region;
+    self->region = heartbeat->conf.region;
     self->callers = settings->callers;
     self->incarnation = heartbeat->conf.incarnation;
     self->ready = heartbeat->ready;
@@ -81,7 +81,7 @@
         .members = members,
         .views = heartbeat->conf.views,
         .watch = heartbeat->conf.watch,
-        .backends = &heartbeat->conf.router->catalog.backends,
+        .backends = heartbeat->conf.backends,
         .round = heartbeat->round,
         .now_ms = now_ms,
     };
@@ -96,8 +96,7 @@
     for (size_t i = 0; i < members->count; i++) {
         member_t *member = &members->items[i];
         if (is_self(heartbeat, &member->peer) ||
-            !members_is_target(members, i, heartbeat->conf.router->region, heartbeat->round,
-                               now_ms))
+            !members_is_target(members, i, heartbeat->conf.region, heartbeat->round, now_ms))
             continue;
         member->sent_ms = now_ms;
         peer_send(heartbeat->conf.hub, &member->peer, &envelope);
@@ -123,7 +122,7 @@
 heartbeat_tick(heartbeat_t *heartbeat, uint64_t now_ms)
 {
     const uint32_t interval_ms =
-        members_interval_ms(heartbeat->conf.members, heartbeat->conf.router->region, now_ms);
+        members_interval_ms(heartbeat->conf.members, heartbeat->conf.region, now_ms);
     log_lost(heartbeat, now_ms);
     if (now_ms - heartbeat->sent_ms + EARLY_MS >= interval_ms)
         heartbeat_send(heartbeat, now_ms);
@@ -154,11 +153,11 @@
 
 /* Outcomes at backends that this instance does not know (yet) are left out. */
 static void
-add_outcomes(const router_t *router, const Iris__GatewayHeartbeat *message, uint64_t now_ms)
+add_outcomes(const backends_t *backends, const Iris__GatewayHeartbeat *message, uint64_t now_ms)
 {
     for (size_t i = 0; i < message->n_outcomes; i++) {
         const Iris__Outcomes *outcomes = message->outcomes[i];
-        backend_t *backend = backends_find(&router->catalog.backends, str_from(outcomes->backend));
+        backend_t *backend = backends_find(backends, str_from(outcomes->backend));
         if (backend != NULL)
             health_add_report(&backend->health, outcomes->good, outcomes->bad, now_ms);
     }
@@ -200,6 +199,6 @@
     member->region = region_of(heartbeat, &sender.hall);
     member->callers = sender.callers;
     heartbeat_message_apply(message, member);
-    add_outcomes(heartbeat->conf.router, message, now_ms);
+    add_outcomes(heartbeat->conf.backends, message, now_ms);
     view_relay_compare(heartbeat->conf.relay, member);
 }
--- a/gateway/membership/heartbeat.h
+++ b/gateway/membership/heartbeat.h
@@ -9,13 +9,16 @@
 
 #include "gateway/membership/heartbeat_message.h"
 #include "gateway/settings.h"
+#include "gateway/state/services.h"
 #include "gateway/state/view_relay.h"
 #include "peer/link.h"
 
 typedef struct {
     const gateway_settings_t *settings;
     members_t *members;
-    const router_t *router;
+    const services_t *services; /* their demand is sent */
+    const backends_t *backends; /* outcomes at them are sent and received */
+    size_t region;              /* of this instance */
     const views_t *views;
     const store_watch_t *watch;
     view_relay_t *relay;
--- a/gateway/membership/heartbeat_message.h
+++ b/gateway/membership/heartbeat_message.h
@@ -2,12 +2,12 @@
  * Heartbeat message: an instance's state as a protobuf message, and back.
  *
  * Owns the buffers that an outgoing message points into. Relies on members.h for what is sent of
- * the instance itself, on views.h and store_watch.h for its views and store, on the catalog for
+ * the instance itself, on views.h and store_watch.h for its views and store, on backends.h for
  * outcomes at backend servers.
  */
 #pragma once
 
-#include "gateway/router.h"
+#include "gateway/state/backends.h"
 #include "gateway/state/store_watch.h"
 #include "peer/peer.pb-c.h"
 
