--- /dev/null
+++ b/entry/region/allocation.h
@@ -0,0 +1,60 @@
+/*
+ * Allocation: the stored object that says how many requests in flight each instance of a region may
+ * have.
+ *
+ * Immutable once parsed. Owns its lists. credit.h explains holders, former holders and epochs.
+ */
+#pragma once
+
+#include <stddef.h>
+#include <stdint.h>
+
+#include "base/error.h"
+#include "base/str.h"
+
+enum {
+    CREDIT_FLOOR = 1, /* requests that an instance without authority may still have */
+    CREDIT_HOLDERS_MAX = 256,
+};
+
+typedef struct {
+    name_t instance;
+    uint64_t incarnation;
+    uint32_t credits;
+    uint32_t quorum_of;  /* fewest holders of any epoch this one may still act under */
+    uint32_t long_bound; /* most long requests it may have in flight, earlier epochs included */
+} holder_t;
+
+typedef enum {
+    FORMER_RESTING, /* may still act: nobody gains */
+    FORMER_LONG,    /* only its long requests may still run */
+    FORMER_FLOOR,   /* only the floor is kept back, while the platform lists it */
+} former_stage_t;
+
+typedef struct {
+    name_t instance;
+    uint64_t incarnation;
+    uint32_t quorum_of;
+    uint32_t long_bound;
+    uint64_t left_epoch; /* the last epoch at which it was a holder */
+    former_stage_t stage;
+} former_t;
+
+/* Credits kept back for a former holder. */
+uint32_t former_reserve(const former_t *former);
+
+typedef struct {
+    name_t region;
+    uint64_t epoch; /* version of the stored object */
+    uint32_t limit;
+    holder_t *holders;
+    size_t holder_count;
+    former_t *formers;
+    size_t former_count;
+} allocation_t;
+
+/* NULL with an error if a rule is broken; free it with allocation_free(). */
+allocation_t *allocation_parse(str_t json, uint64_t version, err_t *err);
+/* The stored text; free() the result. */
+char *allocation_format(const allocation_t *allocation);
+void allocation_free(allocation_t *allocation);
--- a/entry/region/credit.h
+++ b/entry/region/credit.h
@@ -24,57 +24,15 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "base/error.h"
-#include "base/str.h"
+#include "entry/region/allocation.h"
 
 enum {
+    /* Authority without confirmation ends after this time. Chosen: docs/design/entry/credits.md. */
     CREDIT_FENCE_MS = 4000,
-    CREDIT_FLOOR = 1,
-    CREDIT_SHORT_MS = 5000,  /* deadlines above this are long */
-    CREDIT_LONG_DIVISOR = 3, /* part of the credits that long requests may use */
-    CREDIT_HOLDERS_MAX = 256,
+    CREDIT_SHORT_MS = 5000,  /* deadlines above this are long. Chosen, not measured */
+    CREDIT_LONG_DIVISOR = 3, /* part of the credits that long requests may use (commit 57ecd49) */
 };
 
-typedef struct {
-    name_t instance;
-    uint64_t incarnation;
-    uint32_t credits;
-    uint32_t quorum_of;  /* fewest holders of any epoch this one may still act under */
-    uint32_t long_bound; /* most long requests it may have in flight, earlier epochs included */
-} holder_t;
-
-typedef enum {
-    FORMER_RESTING, /* may still act: nobody gains */
-    FORMER_LONG,    /* only its long requests may still run */
-    FORMER_FLOOR,   /* only the floor is kept back, while the platform lists it */
-} former_stage_t;
-
-typedef struct {
-    name_t instance;
-    uint64_t incarnation;
-    uint32_t quorum_of;
-    uint32_t long_bound;
-    uint64_t left_epoch; /* the last epoch at which it was a holder */
-    former_stage_t stage;
-} former_t;
-
-/* Credits kept back for a former holder. */
-uint32_t former_reserve(const former_t *former);
-
-typedef struct {
-    name_t region;
-    uint64_t epoch; /* version of the stored object */
-    uint32_t limit;
-    holder_t *holders;
-    size_t holder_count;
-    former_t *formers;
-    size_t former_count;
-} allocation_t;
-
-allocation_t *allocation_parse(str_t json, uint64_t version, err_t *err);
-char *allocation_format(const allocation_t *allocation);
-void allocation_free(allocation_t *allocation);
-
 typedef struct credit credit_t;
 
 credit_t *credit_new(const name_t *self, uint64_t incarnation);
