--- a/base/addr.h
+++ b/base/addr.h
@@ -1,4 +1,8 @@
-/* Numeric socket addresses, "IP:PORT" or "[IPv6]:PORT". Names are never resolved. */
+/*
+ * Numeric socket addresses, "IP:PORT" or "[IPv6]:PORT". Names are never resolved.
+ *
+ * Plain values; relies on nothing.
+ */
 #pragma once
 
 #include <netinet/in.h>
--- a/base/bucket.h
+++ b/base/bucket.h
@@ -1,4 +1,8 @@
-/* Token bucket: a rate with a bounded burst. Pure; time is passed in. */
+/*
+ * Token bucket: a rate with a bounded burst.
+ *
+ * A plain value; relies on nothing, time is passed in.
+ */
 #pragma once
 
 #include <stdbool.h>
--- a/base/counter.h
+++ b/base/counter.h
@@ -3,6 +3,7 @@
  *
  * Metrics register themselves on first use and live as long as the process. Names follow the
  * usual text exposition format; `labels` is the ready-made label list without braces, or NULL.
+ * Owns all metrics of the process; relies on nothing.
  */
 #pragma once
 
--- a/base/log.h
+++ b/base/log.h
@@ -3,6 +3,8 @@
  *
  * Each .c file defines LOG_MODULE before including this header. Messages say what failed and
  * with which value, e.g. LOG_ERR("bind failed: addr=%s err=%s", ...).
+ * Owns the process's one log: a file (the entry) or standard output through log_ring.h (the
+ * gateway, which must never block). Relies on log4c.
  */
 #pragma once
 
--- a/base/log_ring.h
+++ b/base/log_ring.h
@@ -4,6 +4,7 @@
  * Lines wait in a ring of fixed size until the descriptor takes them; each module has a token
  * bucket. A reader that stops costs no time: lines that do not fit are counted, and a line tells
  * how many of which module were dropped once there is room again.
+ * Owns the waiting lines, not the descriptor. Relies on bucket.h.
  */
 #pragma once
 
--- a/base/yaml.h
+++ b/base/yaml.h
@@ -1,4 +1,8 @@
-/* YAML files read by libcyaml against a schema, with errors that name file, line, key and value. */
+/*
+ * YAML files read by libcyaml against a schema, with errors that name file, line, key and value.
+ *
+ * Owns nothing. Relies on libcyaml, and on libyaml for the line of a key.
+ */
 #pragma once
 
 #include <stdbool.h>
--- a/wire/client.h
+++ b/wire/client.h
@@ -5,6 +5,8 @@
  * request was handed to a connection, so the request has certainly not run. Bytes after a whole
  * answer close the connection; an answer that belongs to another request is skipped, and the
  * connection is not used again.
+ *
+ * Owns the connections of a pool and the bytes of a call. Relies on libuv, on head.h for heads.
  */
 #pragma once
 
@@ -48,9 +50,11 @@
     bool head_method;     /* the request's method is HEAD */
 } wire_call_conf_t;
 
+/* A pool of connections to one address, made as calls need them. */
 wire_pool_t *wire_pool_new(uv_loop_t *loop, const addr_t *addr, size_t max_connections);
 /* Closes idle connections; the pool is freed once its calls have ended. */
 void wire_pool_free(wire_pool_t *pool);
+/* The bound holds for new connections; open ones stay. */
 void wire_pool_set_max(wire_pool_t *pool, size_t max_connections);
 const addr_t *wire_pool_addr(const wire_pool_t *pool);
 /* Closes idle connections that have rested for `idle_ms`. */
--- a/wire/listener.h
+++ b/wire/listener.h
@@ -6,6 +6,9 @@
  * connections, and cannot close idle connections on a planned stop
  * (docs/design/gateway/overview.md).
  *
+ * Owns the connections and the requests that are not answered yet. Relies on libuv; server_conn.h,
+ * request_reader.h and respond.c are inside of it.
+ *
  * One request a connection at a time. The handler is called with the whole request and answers
  * through wire_respond_*(). The request lives until the answer has ended, was aborted, or the
  * caller has left, whichever comes first.
