--- a/ctl/table_cmd.c
+++ b/ctl/table_cmd.c
@@ -9,11 +9,10 @@
 #include "base/xmalloc.h"
 #include "ctl/commit.h"
 #include "ctl/table_cmd.h"
+#include "ctl/table_file.h"
 #include "entry/region/gate.h"
 #include "entry/table/ramp.h"
 
-enum { LINE_MAX_LEN = 512, COLUMNS_IN_FILE = 6 };
-
 static int
 fail(const session_t *session, int status, const err_t *err)
 {
@@ -189,18 +188,6 @@
     return finish_edit(session, argv[0], edit);
 }
 
-static void
-print_row(const char *prefix, const table_row_t *row)
-{
-    printf("%s%s", prefix, row->place.ptr);
-    for (size_t c = 0; c < COLUMN_COUNT; c++) {
-        char text[EDIT_VALUE_MAX];
-        column_format(row, (column_t)c, text);
-        printf(",%s", text);
-    }
-    putchar('\n');
-}
-
 int
 table_cmd_export(session_t *session, int argc, char **argv)
 {
@@ -212,108 +199,11 @@
     table_t *table = commit_read(session, argv[0], &err);
     if (table == NULL)
         return fail(session, status_of_error(&err), &err);
-    printf("#service,%s\nplace,weight,limit,rate,cap,state\n", table->service.ptr);
-    for (size_t i = 0; i < table->row_count; i++)
-        print_row("", &table->rows[i]);
-    /* What the operator saw, so that a later import can tell others' changes from its own. */
-    for (size_t i = 0; i < table->row_count; i++)
-        print_row("#seen,", &table->rows[i]);
+    table_file_print(table);
     table_free(table);
     return CTL_OK;
 }
 
-/* A row of an exported file: the place and a text for each column. */
-typedef struct {
-    char cell[COLUMNS_IN_FILE][EDIT_VALUE_MAX];
-} file_row_t;
-
-static bool
-split_row(const char *line, file_row_t *row)
-{
-    size_t column = 0;
-    size_t len = 0;
-    *row = (file_row_t){0};
-    for (const char *at = line; *at != '\0' && *at != '\n' && *at != '\r'; at++) {
-        if (*at == ',') {
-            column++;
-            len = 0;
-        } else if (column < COLUMNS_IN_FILE && len < EDIT_VALUE_MAX - 1) {
-            row->cell[column][len++] = *at;
-        } else {
-            return false;
-        }
-    }
-    return column == COLUMNS_IN_FILE - 1;
-}
-
-typedef struct {
-    file_row_t *rows;
-    size_t count;
-} file_rows_t;
-
-static void
-add_file_row(file_rows_t *rows, const file_row_t *row)
-{
-    rows->rows = xrealloc(rows->rows, (rows->count + 1) * sizeof(*row));
-    rows->rows[rows->count++] = *row;
-}
-
-static bool
-read_file_rows(const char *path, file_rows_t *wanted, file_rows_t *seen, err_t *err)
-{
-    static const char seen_prefix[] = "#seen,";
-    FILE *file = fopen(path, "re");
-    if (file == NULL) {
-        err_set(err, ERR_SYSTEM, "%s: %s", path, strerror(errno));
-        return false;
-    }
-    char line[LINE_MAX_LEN];
-    bool ok = true;
-    for (unsigned number = 1; ok && fgets(line, sizeof(line), file) != NULL; number++) {
-        file_row_t row;
-        const bool is_seen = strncmp(line, seen_prefix, sizeof(seen_prefix) - 1) == 0;
-        if (!is_seen && (line[0] == '#' || line[0] == '\n' || strncmp(line, "place,", 6) == 0))
-            continue;
-        ok = split_row(is_seen ? line + sizeof(seen_prefix) - 1 : line, &row);
-        if (ok)
-            add_file_row(is_seen ? seen : wanted, &row);
-        else
-            err_set(err, ERR_PARSE, "%s:%u: expected place,weight,limit,rate,cap,state", path,
-                    number);
-    }
-    fclose(file);
-    return ok;
-}
-
-static const file_row_t *
-find_file_row(const file_rows_t *rows, const char *place)
-{
-    for (size_t i = 0; i < rows->count; i++) {
-        if (strcmp(rows->rows[i].cell[0], place) == 0)
-            return &rows->rows[i];
-    }
-    return NULL;
-}
-
-/* Adds the cells of `wanted` that differ from what was seen. */
-static bool
-add_changes(edit_t *edit, const table_t *table, const file_row_t *wanted, const file_row_t *seen,
-            err_t *err)
-{
-    for (size_t c = 0; c < COLUMN_COUNT; c++) {
-        const char *value = wanted->cell[c + 1];
-        if (seen != NULL && strcmp(seen->cell[c + 1], value) == 0)
-            continue;
-        char assignment[LINE_MAX_LEN];
-        snprintf(assignment, sizeof(assignment), "%s=%s", column_name((column_t)c), value);
-        if (!edit_add_cell(edit, table, str_from(wanted->cell[0]), str_from(assignment), err))
-            return false;
-        if (seen != NULL)
-            snprintf(edit->changes[edit->count - 1].seen, EDIT_VALUE_MAX, "%s", seen->cell[c + 1]);
-    }
-    return true;
-}
-
 int
 table_cmd_import(session_t *session, int argc, char **argv)
 {
@@ -322,23 +212,15 @@
         return CTL_USAGE;
     }
     err_t err = {0};
-    file_rows_t wanted = {0};
-    file_rows_t seen = {0};
-    if (!read_file_rows(argv[1], &wanted, &seen, &err)) {
-        free(wanted.rows);
-        free(seen.rows);
+    table_file_t *file = table_file_read(argv[1], &err);
+    if (file == NULL)
         return fail(session, CTL_USAGE, &err);
-    }
     table_t *table = commit_read(session, argv[0], &err);
     edit_t *edit = start_edit(session);
-    bool ok = table != NULL;
-    for (size_t i = 0; ok && i < wanted.count; i++)
-        ok = add_changes(edit, table, &wanted.rows[i], find_file_row(&seen, wanted.rows[i].cell[0]),
-                         &err);
     const bool readable = table != NULL;
+    const bool ok = readable && table_file_add_changes(file, table, edit, &err);
     table_free(table);
-    free(wanted.rows);
-    free(seen.rows);
+    table_file_free(file);
     if (!ok) {
         edit_free(edit);
         return fail(session, readable ? CTL_USAGE : status_of_error(&err), &err);
