--- a/entry/store.h
+++ b/entry/store.h
@@ -1,8 +1,9 @@
 /*
  * The entry and its object store: lists and watches the objects, and decides when to ask again.
  *
- * Owns the state of the calls. Relies on object_store/client.h, and on gossip.h to pass on what is
- * new.
+ * The gateway's store_watch.h does the same for another protocol, and passes changes on
+ * differently. Owns the state of the calls. Relies on object_store/client.h, and on gossip.h to
+ * pass on what is new.
  */
 #pragma once
 
--- a/gateway/state/view.c
+++ b/gateway/state/view.c
@@ -4,11 +4,12 @@
 #include "base/xmalloc.h"
 #include "gateway/state/view.h"
 
+/* Digests are compared between instances: the seed stays as it is. */
 enum { DIGEST_SEED = 31, ITEMS_START = 16 };
 
-/* Notes that an object changed, or went, on the way to revision `at`. */
+/* Keeps that an object changed, or went, on the way to revision `at`. */
 static void
-note_change(view_t *view, str_t name, uint64_t at)
+keep_change(view_t *view, str_t name, uint64_t at)
 {
     view_change_t *slot = &view->changes[view->change_count % VIEW_CHANGES];
     if (view->change_count >= VIEW_CHANGES)
@@ -101,13 +102,13 @@
         if (!there || view->items[index].revision > item->revision)
             return false;
         remove_at(view, index);
-        note_change(view, item->name, at);
+        keep_change(view, item->name, at);
         return true;
     }
     if (there && view->items[index].revision >= item->revision)
         return false;
     put_at(view, index, item);
-    note_change(view, item->name, at);
+    keep_change(view, item->name, at);
     return true;
 }
 
@@ -152,7 +153,7 @@
     for (size_t i = view->count; i > 0; i--) {
         if (listed(&list, view->items[i - 1].name))
             continue;
-        note_change(view, str_from(view->items[i - 1].name), at);
+        keep_change(view, str_from(view->items[i - 1].name), at);
         remove_at(view, i - 1);
         changed = true;
     }
