--- a/wire/request_reader.h
+++ b/wire/request_reader.h
@@ -3,8 +3,12 @@
  *
  * One request at a time; bytes of the next one are kept until the answer has ended. Input that is
  * no request, or exceeds the limits, is answered with 400, 408, 413 or 431, and the connection
- * ends. Relies on the http-parser library, on server_conn.h for the connection, on wire_respond()
- * for the refusals.
+ * ends.
+ *
+ * client.c parses answers with the same library; the two share head.h and little else, since an
+ * answer may belong to another call and its body is passed on as it comes.
+ * Relies on the http-parser library, on server_conn.h for the connection, on wire_respond() for the
+ * refusals.
  */
 #pragma once
 
