--- a/gateway/state/view_relay.h
+++ b/gateway/state/view_relay.h
@@ -1,10 +1,10 @@
 /*
  * View relay: what instances send each other of their views, so that few of them watch the store.
  *
- * Changes that a watch brought are sent to the others at once. Heartbeats carry each view's
- * revision and digest: an instance that stays behind a peer for 0.45 s asks it for what it lacks.
- * Who gets what: in a small fleet all instances, in a large one those of the own region; each
- * region has watchers of its own.
+ * Changes that a watch brought are sent to the others at once: to all instances, or only to those
+ * of the own region if the fleet or the change is large; each region has watchers of its own.
+ * Heartbeats carry each view's revision and digest: an instance that stays behind a peer for 0.45 s
+ * asks it for what it lacks.
  *
  * Owns the pace of its requests. Relies on views.h for what it fills, on store_watch.h for the
  * state of the store, on membership/members.h for the peers, on peer/link.h for the connections.
