--- a/gateway/state/backend.c
+++ b/gateway/state/backend.c
@@ -3,6 +3,7 @@
 
 #include "base/xmalloc.h"
 #include "gateway/state/backend.h"
+#include "gateway/state/latency.h"
 #include "wire/client.h"
 
 enum {
@@ -10,7 +11,6 @@
     /* Time in which the load reported by an answer loses half of its meaning: about two runs of a
      * request whose object is in memory. Chosen, not measured. */
     LOAD_HALF_LIFE_MS = 400,
-    WORK_MIN_MS = 1, /* the loop's clock counts whole milliseconds, and 0 means not measured */
 };
 
 /* Weight of a new answer in the moving average of working times. Chosen, not measured. */
@@ -102,9 +102,8 @@
     breaker_record_answer(&backend->breaker);
     if (queued && backend->work_ms > 0)
         return;
-    if (latency_ms < WORK_MIN_MS)
-        latency_ms = WORK_MIN_MS;
+    const double work_ms = latency_measured_ms(latency_ms);
     if (backend->work_ms == 0)
-        backend->work_ms = latency_ms;
-    backend->work_ms += WORK_GAIN * (latency_ms - backend->work_ms);
+        backend->work_ms = work_ms;
+    backend->work_ms += WORK_GAIN * (work_ms - backend->work_ms);
 }
--- a/gateway/state/route_stats.c
+++ b/gateway/state/route_stats.c
@@ -1,3 +1,4 @@
+#include "gateway/state/latency.h"
 #include "gateway/state/route_stats.h"
 
 /* Weight of a new caller in the moving average of the time left. Chosen, not measured. */
@@ -23,11 +24,12 @@
 void
 route_stats_count_answer(route_stats_t *stats, uint64_t route_key, double latency_ms)
 {
+    const double measured_ms = latency_measured_ms(latency_ms);
     double *median = &slot_of(stats, route_key)->median_ms;
     if (*median == 0)
-        *median = latency_ms;
+        *median = measured_ms;
     else
-        *median *= latency_ms > *median ? 1 + MEDIAN_STEP : 1 - MEDIAN_STEP;
+        *median *= measured_ms > *median ? 1 + MEDIAN_STEP : 1 - MEDIAN_STEP;
 }
 
 double
--- /dev/null
+++ b/test/gateway/test_route_stats.c
@@ -0,0 +1,39 @@
+/* What is measured of each route. */
+#include "gateway/policy/slow.h"
+#include "gateway/state/route_stats.h"
+#include "test/suites.h"
+
+/* Found at an earlier reading: answers within the clock's millisecond left the median unknown. */
+START_TEST(an_answer_within_a_millisecond_is_an_answer)
+{
+    static route_stats_t stats;
+    route_stats_count_answer(&stats, 7, 0);
+    ck_assert(route_stats_median_ms(&stats, 7) > 0);
+    ck_assert_uint_eq(slow_after_ms(400, route_stats_median_ms(&stats, 7)), 400);
+}
+END_TEST
+
+START_TEST(the_median_follows_in_small_steps)
+{
+    static route_stats_t stats;
+    route_stats_count_answer(&stats, 7, 100);
+    ck_assert_double_eq_tol(route_stats_median_ms(&stats, 7), 100, 1e-9);
+    route_stats_count_answer(&stats, 7, 5000);
+    ck_assert_double_eq_tol(route_stats_median_ms(&stats, 7), 102, 1e-9);
+    route_stats_count_answer(&stats, 7, 1);
+    ck_assert_double_eq_tol(route_stats_median_ms(&stats, 7), 99.96, 1e-9);
+    /* Another route in the same slot starts anew. */
+    ck_assert(route_stats_median_ms(&stats, 7 + ROUTE_STATS_SLOTS) == 0);
+}
+END_TEST
+
+Suite *
+suite_gateway_route_stats(void)
+{
+    Suite *suite = suite_create("gateway: route stats");
+    TCase *tests = tcase_create("route stats");
+    tcase_add_test(tests, an_answer_within_a_millisecond_is_an_answer);
+    tcase_add_test(tests, the_median_follows_in_small_steps);
+    suite_add_tcase(suite, tests);
+    return suite;
+}
--- a/test/suites.h
+++ b/test/suites.h
@@ -13,6 +13,7 @@
 Suite *suite_network(void);
 Suite *suite_check(void);
 Suite *suite_gateway_config(void);
+Suite *suite_gateway_route_stats(void);
 Suite *suite_gateway_lifetime(void);
 Suite *suite_gateway_final_answer(void);
 Suite *suite_gateway_admission(void);
