--- a/entry/admin.c
+++ b/entry/admin.c
@@ -1,4 +1,3 @@
-/* The admin address: metrics, status for irisctl, and explanations of decisions. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/entry/admin.h
+++ b/entry/admin.h
@@ -1,4 +1,4 @@
-/* Metrics and status of an entry, on its admin address. */
+/* The admin address of an entry: metrics, status for irisctl, and explanations of decisions. */
 #pragma once
 
 #include "entry/node_state.h"
--- a/entry/control.c
+++ b/entry/control.c
@@ -1,4 +1,3 @@
-/* The rounds of an entry instance: heartbeats, credit plans, probes, sweeps. */
 #include <stdlib.h>
 #include <string.h>
 
--- a/entry/control.h
+++ b/entry/control.h
@@ -1,4 +1,4 @@
-/* The once-a-second round of an entry: heartbeats, credit plans, probes. */
+/* The rounds of an entry instance: heartbeats, credit plans, probes, sweeps. */
 #pragma once
 
 #include "entry/node_state.h"
--- a/entry/gossip.h
+++ b/entry/gossip.h
@@ -1,6 +1,9 @@
 /*
- * Messages between entry instances: heartbeats, objects, borrowed credits.
+ * Messages between entry instances.
  *
+ * Heartbeats go once a second to every instance of the region; each carries the last stamp received
+ * from its addressee, so no separate answers are needed. Objects travel by push along a binary tree
+ * over the hall and by comparing digests; region loads go to a few random peers.
  * Owns nothing beyond the node's state. Relies on peer/link.h for the connections.
  */
 #pragma once
--- a/entry/path/serve.c
+++ b/entry/path/serve.c
@@ -1,4 +1,3 @@
-/* Requests of callers: look-ups, keys, and everything that is forwarded. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/entry/probe.c
+++ b/entry/probe.c
@@ -1,11 +1,3 @@
-/*
- * Health probes of backend servers.
- *
- * A probe costs a server a part of a slot, so only servers that are out (ejected) or quiet are
- * probed, and each by one instance of the region: the first by rendezvous hash among the live.
- * A probe that succeeds ends an ejection early; one that fails never ejects a server whose real
- * answers are good, since health answers may mislead.
- */
 #include <stdlib.h>
 
 #define LOG_MODULE "probe"
--- a/entry/store.c
+++ b/entry/store.c
@@ -1,10 +1,3 @@
-/*
- * Following the store: a full list at start and now and then, a watch in between.
- *
- * Only two instances of each hall watch (the first two by rendezvous hash among the live), so
- * the calls grow with halls, not with instances. Every delay is drawn at random around its mean,
- * and failures back off, so that instances do not return to the store all at once.
- */
 #include <stdlib.h>
 #include <string.h>
 
--- a/entry/store.h
+++ b/entry/store.h
@@ -1,9 +1,11 @@
 /*
- * The entry and its object store: lists and watches the objects, and decides when to ask again.
+ * Watching the entry's object store: a full list at start and now and then, a watch in between.
  *
- * The gateway's store_watch.h does the same for another protocol, and passes changes on
- * differently. Owns the state of the calls. Relies on object_store/client.h, and on gossip.h to
- * pass on what is new.
+ * Only two instances of each hall watch (the first two by rendezvous hash among the live), so the
+ * calls grow with halls, not with instances. Every delay is drawn at random around its mean, and
+ * failures back off, so that instances do not return to the store all at once.
+ * Owns the state of the calls. Relies on object_store/client.h, and on gossip.h to pass on what is
+ * new. The gateway's store_watch.h does the same for another protocol.
  */
 #pragma once
 
