--- a/entry/backend/backend.h
+++ b/entry/backend/backend.h
@@ -15,6 +15,7 @@
 #include "base/rng.h"
 #include "entry/fleet/instance.h"
 
+/* Chosen with the choice as a whole (docs/design/entry/choice.md); none was measured alone. */
 enum {
     BACKEND_LOAD_DECAY_MS = 400, /* half-life-like scale of a reported load */
     BACKEND_EJECT_FAILURES = 3,  /* failures in a row that take a server out */
--- a/entry/control.c
+++ b/entry/control.c
@@ -9,11 +9,12 @@
 #include "entry/probe.h"
 #include "entry/store.h"
 
+/* Chosen; none was measured alone. */
 enum {
-    ROUND_MS = 1000,
-    SETTLE_IN_MS = 2500, /* after start, before planning: peers are heard first */
-    DEFAULT_DEADLINE_MS = 60000,
-    PLAN_CYCLE_MS = 8000, /* instances other than the first by name plan once in this time */
+    ROUND_MS = 1000,             /* between heartbeats */
+    SETTLE_IN_MS = 2500,         /* after start, before planning: peers are heard first */
+    DEFAULT_DEADLINE_MS = 60000, /* of requests, where no table says otherwise */
+    PLAN_CYCLE_MS = 8000,        /* instances other than the first by name plan once in this time */
 };
 
 static void
--- a/entry/gossip.c
+++ b/entry/gossip.c
@@ -6,11 +6,12 @@
 #include "base/xmalloc.h"
 #include "entry/gossip.h"
 
+/* Chosen; docs/design/entry/dissemination.md has what was weighed. */
 enum {
-    RELAY_CHILDREN = 2,
-    LOAD_PEERS = 2, /* region members that get the loads, each round */
+    RELAY_CHILDREN = 2, /* copies of an object that an instance sends in its hall's tree */
+    LOAD_PEERS = 2,     /* region members that get the loads, each round */
     IDLE_CONNECTION_MS = 30000,
-    BORROW_MAX = 64,
+    BORROW_MAX = 64, /* credits asked for at once */
 };
 
 static Iris__Envelope
--- a/entry/object_store/client.c
+++ b/entry/object_store/client.c
@@ -9,12 +9,13 @@
 #include "entry/http/fetch.h"
 #include "entry/object_store/client.h"
 
+/* Chosen; none was measured alone. */
 enum {
     CONNECTIONS = 8,
     IDLE_MS = 10000,
     WATCH_SLACK_MS = 3000, /* added to a watch's own waiting time */
     PATH_MAX_LEN = 256,
-    BURST_SECONDS = 10,
+    BURST_SECONDS = 10, /* of the call budget that may be saved up */
 };
 
 struct platform {
--- a/entry/path/claims.c
+++ b/entry/path/claims.c
@@ -12,7 +12,10 @@
 #include "entry/path/claims.h"
 #include "entry/path/route.h"
 
-enum { CLAIM_NAME_SIZE = 40, CLAIM_TRIES = 4 };
+enum {
+    CLAIM_NAME_SIZE = 40,
+    CLAIM_TRIES = 4, /* reads and writes of one claim. Chosen, not measured */
+};
 
 /* A claim being made for an exchange. */
 typedef struct {
--- a/entry/path/route.c
+++ b/entry/path/route.c
@@ -8,20 +8,23 @@
 #include "entry/path/attempt.h"
 #include "entry/path/route.h"
 
+/* Chosen; none was measured alone. */
 enum {
-    QUEUE_MAX = 256,
-    QUEUE_WAIT_MS = 200,
+    QUEUE_MAX = 256,         /* waiting requests of this instance */
+    QUEUE_WAIT_MS = 200,     /* longest wait of a request */
     QUEUE_WAIT_BUSY_MS = 25, /* while requests had to be given up lately */
-    QUEUE_BUSY_MS = 1000,
-    QUEUE_SPILL_MS = 20, /* wait before another region is tried */
-    QUEUE_LOOK_MAX = 64, /* requests looked at in one run of the queue */
-    HEDGE_MIN_MS = 10,
+    QUEUE_BUSY_MS = 1000,    /* how long that is remembered */
+    QUEUE_SPILL_MS = 20,     /* wait before another region is tried */
+    QUEUE_LOOK_MAX = 64,     /* requests looked at in one run of the queue */
+    HEDGE_MIN_MS = 10,       /* no second attempt before */
     PLACES_PER_REGION_MAX = 64,
 };
 
+/* Times the usual slow answer of its class after which a request is hedged. */
 #define HEDGE_FACTOR 1.5
+/* Share of its credits that a region must have free to get requests of others. */
 #define SPILL_MIN_HEADROOM 0.1
-/* A sibling place this many times as fast is tried first, within its cap. */
+/* A sibling place this many times as fast is tried first, within its cap (commit 9af9734). */
 #define SLOW_PLACE_FACTOR 2.0
 
 static void
--- a/entry/probe.c
+++ b/entry/probe.c
@@ -6,10 +6,11 @@
 #include "entry/probe.h"
 #include "entry/http/fetch.h"
 
+/* Chosen; none was measured alone. */
 enum {
     PROBE_TIMEOUT_MS = 1000,
     PROBE_BODY_MAX = 1024,
-    QUIET_MS = 10000,
+    QUIET_MS = 10000, /* without an answer, after which a server is probed */
     STATUS_OK = 200,
 };
 
--- a/entry/store.c
+++ b/entry/store.c
@@ -9,14 +9,15 @@
 #include "entry/gossip.h"
 #include "entry/store.h"
 
+/* Chosen for the store's rates; docs/CAPACITY.md has the calls that follow from them. */
 enum {
     WATCHERS_PER_HALL = 2,
-    WATCH_WAIT_MS = 25000,
-    RELIST_MS = 30000,
-    INSTANCES_MS = 2000,
-    BACKOFF_MIN_MS = 250,
+    WATCH_WAIT_MS = 25000, /* a watch rests this long at most */
+    RELIST_MS = 30000,     /* between full lists */
+    INSTANCES_MS = 2000,   /* between reads of the instance list */
+    BACKOFF_MIN_MS = 250,  /* pause after a failure, doubled with each further one */
     BACKOFF_MAX_MS = 8000,
-    ALLOCATION_CHECK_MS = 1000,
+    ALLOCATION_CHECK_MS = 1000, /* between checks of the region's allocation */
 };
 
 struct store_follower {
