--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -13,8 +13,9 @@
 #include "wire/client.h"
 
 enum {
-    TICK_MS = 200, /* regular work; the shortest interval of anything done there is 400 ms */
-    /* Peer connections without progress are closed: as long as unacknowledged bytes are borne. */
+    TICK_MS = 200, /* between two rounds of regular work: half of the shortest heartbeat interval */
+    /* Peer connections whose output has not moved for this time are closed; the same figure as
+     * USER_TIMEOUT_MS of peer/link.c. Chosen, not measured. */
     PEER_STALLED_MS = 1500,
     /* Idle connections to backends are closed. Chosen: above the age at which they are used. */
     BACKEND_IDLE_MS = 9000,
--- a/gateway/listeners.c
+++ b/gateway/listeners.c
@@ -6,7 +6,8 @@
     /* Of the ports for questions of a few hundred bytes. Chosen, not measured. */
     SMALL_HEAD_MAX = 8192,
     SMALL_CONNECTIONS_MAX = 512,
-    /* Callers' connections: leaves descriptors for backends of the 4,100 that an instance has. */
+    /* Callers' connections, below the 4,100 descriptors of an instance on the users' sites. Chosen,
+     * not measured. */
     CALLER_CONNECTIONS_MAX = 3000,
     /* Of callers until a configuration gives limits. Chosen, not measured. */
     FIRST_HEAD_MAX = 16384,
--- a/gateway/policy/breaker.c
+++ b/gateway/policy/breaker.c
@@ -2,7 +2,7 @@
 
 /* All chosen with the first whole path (commit 126925f), not measured one by one. */
 enum {
-    FAILURES_BEFORE_SUSPENSION = 2, /* one failure alone may be the connection's */
+    FAILURES_BEFORE_SUSPENSION = 2, /* in a row */
     SUSPENSION_MIN_MS = 300,
     SUSPENSION_DOUBLINGS_MAX = 4, /* at most 300 ms x 16 = 4.8 s */
 };
--- a/gateway/policy/final_answer.h
+++ b/gateway/policy/final_answer.h
@@ -3,7 +3,7 @@
  *
  * Decides: status and Retry-After of a response that the gateway itself makes.
  * Inputs: why the request is given up, and whether an attempt at it may have run.
- * Rule: 503 with a Retry-After promises that the request has not run and never will. It is
+ * Rule: 503 with a Retry-After means that no backend has run the request and none will. It is
  * given only if no attempt may have run; otherwise the caller gets 502, or 504 at the deadline.
  * The answer is given at once: a request is never held back to delay the caller's retry.
  *
--- a/gateway/policy/region_plan.c
+++ b/gateway/policy/region_plan.c
@@ -15,8 +15,9 @@
  * measured. */
 #define FIRST_USE 0.7
 /* The most of the shares that moves in a second: away from home, back home, and after slots were
- * lost. Below the platform's bound on shifts (0.15 in 2 s), but for the last: lost slots lift the
- * bound. Measured with the plan as a whole (commit c2341eb). */
+ * lost. The first two are below the platform's bound on shifts (0.15 in 2 s). The last is above it:
+ * we take it that a sudden loss is exempt (docs/design/gateway/overview.md, questions to the
+ * users). Measured with the plan as a whole (commit c2341eb). */
 #define AWAY_PER_S 0.03
 #define BACK_PER_S 0.004
 #define LOST_PER_S 0.25
--- a/gateway/policy/removal.c
+++ b/gateway/policy/removal.c
@@ -1,7 +1,8 @@
 #include "gateway/policy/removal.h"
 
 enum {
-    /* The platform says that lapsed entries of live backends are back within about 2 s. */
+    /* Live backends register again within about 2 s of the store's return (the platform's figure).
+     */
     OUTAGE_GRACE_MS = 2200,
     /* Below the 2 s in which a removal must have taken effect on the strictest of the users' sites.
      * Brought in with commit ce9d245, not measured alone. */
--- a/gateway/policy/retry_budget.h
+++ b/gateway/policy/retry_budget.h
@@ -4,8 +4,8 @@
  * Decides: whether one more extra send fits into the budget.
  * Inputs: requests and extra sends of this instance in a sliding window; the operators' terms.
  * Rule: extra sends stay below 0.75 of (ratio x requests + this instance's part of the constant).
- * Reason: the bound holds over all instances, whose windows are not aligned and whose number is
- * known only roughly; the margin takes both.
+ * Reason: the bound holds over all instances, and their windows are not aligned with each other;
+ * the margin covers that.
  *
  * Owns: retry_budget_t, a part of its service. Relies on nothing; time is passed in.
  */
--- a/gateway/policy/shutdown.c
+++ b/gateway/policy/shutdown.c
@@ -5,7 +5,7 @@
     ACCEPT_MS = 2000,
     /* Two ticks of the instance (0.2 s each) longer. Chosen, not measured. */
     STAY_MIN_MS = 2400,
-    /* So that the process ends by itself and its last log lines are written. Chosen. */
+    /* Left for the process to end by itself. Chosen, not measured. */
     BEFORE_KILL_MS = 600,
 };
 
--- a/gateway/settings.h
+++ b/gateway/settings.h
@@ -10,7 +10,7 @@
 #include "base/error.h"
 #include "gateway/membership/topology.h"
 
-enum { SETTINGS_SEEDS = 8 }; /* chosen: enough that one of them is alive */
+enum { SETTINGS_SEEDS = 8 }; /* chosen, not measured */
 
 typedef struct {
     name_t name;    /* of this instance */
--- a/gateway/state/backend.c
+++ b/gateway/state/backend.c
@@ -8,8 +8,8 @@
 
 enum {
     KEY_SEED = 41, /* any number; the same on every instance */
-    /* Time in which the load reported by an answer loses half of its meaning: about two runs of a
-     * request whose object is in memory. Chosen, not measured. */
+    /* Time in which the load reported by an answer loses half of its weight. Chosen, not measured.
+     */
     LOAD_HALF_LIFE_MS = 400,
 };
 
--- a/gateway/state/backend.h
+++ b/gateway/state/backend.h
@@ -46,7 +46,7 @@
     bool departed;         /* another backend answers at its address */
     uint64_t remove_at_ms; /* when its absence from the store takes effect, 0 if it is there */
     uint64_t cold_until_ms;
-    bucket_t cold_tokens; /* this instance's part of the requests it bears while cold */
+    bucket_t cold_tokens; /* this instance's part of the requests it can take while cold */
     uint32_t in_flight;   /* attempts of this instance */
     double other_load;    /* requests of other instances there, as of load_reported_ms */
     uint64_t load_reported_ms;
--- a/gateway/state/catalog.h
+++ b/gateway/state/catalog.h
@@ -22,11 +22,14 @@
     unsigned instances;  /* of the whole fleet; they share a backend's connections */
 } catalog_t;
 
+/* What is passed must outlive the catalog. */
 void catalog_init(catalog_t *catalog, uv_loop_t *loop, const topology_t *topology,
                   const decoder_port_t *decoder);
 /* True if the view held a newer, usable configuration. */
 bool catalog_apply_config(catalog_t *catalog, const view_t *view);
+/* Adds and changes backends, and schedules the removal of those that are gone (removal.h). */
 void catalog_apply_backends(catalog_t *catalog, const view_t *view, bool store_was_down);
+/* Closes and opens the data halls of the backends. */
 void catalog_apply_closures(catalog_t *catalog, const view_t *view);
 /* The number of instances has changed: each gets its part of a backend's connections. */
 void catalog_set_instances(catalog_t *catalog, unsigned instances);
@@ -34,5 +37,6 @@
 void catalog_tick(catalog_t *catalog);
 /* True once requests can be decided. */
 bool catalog_is_complete(const catalog_t *catalog);
-/* Slots of the usable backends of a service, by region; regions without a name are left out. */
+/* Adds the slots of a service's usable backends to `slots`, which has an entry for each region of
+ * the topology; backends without a region are left out. */
 void catalog_slots_by_region(const catalog_t *catalog, str_t service, double *slots);
--- a/gateway/state/config.h
+++ b/gateway/state/config.h
@@ -43,7 +43,7 @@
     name_t name;
     uint32_t max_connections; /* that a backend accepts from all instances together */
     uint32_t cold_ms;         /* how long a started backend stays cold */
-    double cold_per_s;        /* requests a second that a cold backend bears, 0 for no bound */
+    double cold_per_s;        /* requests a second that a cold backend can take, 0 for no bound */
 } config_service_t;
 
 typedef struct {
--- a/gateway/state/route_stats.h
+++ b/gateway/state/route_stats.h
@@ -8,13 +8,14 @@
 
 #include <stdint.h>
 
-enum { ROUTE_STATS_SLOTS = 512 };
+enum { ROUTE_STATS_SLOTS = 512 }; /* chosen, not measured */
 
 typedef struct {
     uint64_t route_key; /* config_route_t.key */
-    double
-        usual_left_ms; /* moving average of the time that callers still wait, 0 before the first */
-    double median_ms;  /* estimated median time of whole answers, 0 before the first */
+    /* Moving average of the time that callers still wait, 0 before the first. */
+    double usual_left_ms;
+    /* Estimated median time of whole answers, 0 before the first. */
+    double median_ms;
 } route_stat_t;
 
 typedef struct {
--- a/gateway/state/store_watch.c
+++ b/gateway/state/store_watch.c
@@ -14,8 +14,8 @@
     WATCH_WAIT_FAILING_MS = 20, /* an answer at once: is the store back? Chosen (commit ce9d245) */
     RETRY_MIN_MS = 200,         /* one tick; the pause grows by this much with each failure */
     RETRY_MAX_MS = 1000,        /* chosen, not measured */
-    /* How long an outage of the whole store is remembered: the platform says that lapsed entries
-     * are back within about 2 s of its return. Chosen, not measured. */
+    /* How long an outage of the whole store is remembered: live backends register again
+     * within about 2 s of its return (the platform's figure). Chosen, not measured. */
     OUTAGE_REMEMBERED_MS = 5000,
     FAILURES_FAILING = 2, /* in a row, after which the store fails this instance. Chosen */
     /* An instance that had to watch goes on for this time, so that instances do not take turns in
--- a/gateway/state/view_relay.c
+++ b/gateway/state/view_relay.c
@@ -8,11 +8,11 @@
 enum {
     REQUEST_EVERY_MS = 600, /* an instance asks for a view at most this often. Chosen */
     /* A view that stays older than a peer's for this time is asked for: changes on their way have
-     * arrived by then. Chosen just above a heartbeat's interval (0.4 s). */
+     * arrived by then. Brought in with commit 2b9bd2c, not measured alone. */
     BEHIND_MS = 450,
     START_STORE_FIRST_MS = 700, /* the store has this time to give the views at start. Chosen */
-    /* Bytes of changes that are sent to other regions; larger ones cost more there than a read of
-     * the store by the region's own watchers (commit 2b9bd2c). */
+    /* Bytes of changes that are sent to other regions; larger ones go to the own region only
+     * (commit 2b9bd2c). The figure was chosen. */
     RELAY_FAR_MAX = 60000,
     /* Bytes of a view that a peer gets; a larger one it reads from the store. In the sweep at 300
      * instances whole views of 1 MB made most of the bytes (commit 59548b9). */
--- a/wire/listener.c
+++ b/wire/listener.c
@@ -11,7 +11,7 @@
 #include "wire/request_reader.h"
 
 enum {
-    LISTEN_BACKLOG = 512, /* chosen: above the callers that connect within a tick */
+    LISTEN_BACKLOG = 512, /* chosen, not measured */
     READ_SIZE = 65536,
     CHECK_EVERY_MS = 250,   /* granularity of the idle and head timeouts. Chosen */
     CLOSE_LINGER_MS = 1000, /* wait for the caller's close after the last answer. Chosen */
