--- a/gateway/policy/cold_start.h
+++ b/gateway/policy/cold_start.h
@@ -3,13 +3,14 @@
  *
  * Decides: whether this instance may send a request to a cold backend now.
  * Inputs: the instances this one has ever heard of, the rate that a cold backend can take (requests
- * a second over all instances), the time in milliseconds. Rule: two instances send, the first by
- * rendezvous hash among the instances of the backend's region (of all regions if none is there),
- * each at 0.4 of the rate with a burst of one. Reason: a higher rate overloads a cold backend, and
- * instances have no time to agree on who sends. Lost instances stay in the list, so that a
- * partition does not make new senders; two instances with different lists choose at most twice the
- * number, which the platform's bound (1.5 times the rate and a constant) takes.
- * docs/design/gateway/cold-start.md.
+ * a second over all instances), the time in milliseconds.
+ * Rule: two instances send, the first by rendezvous hash among the instances of the backend's
+ * region (of all regions if none is there), each at 0.4 of the rate with a burst of one.
+ * Reason: a higher rate overloads a cold backend, and instances have no time to agree on who sends.
+ * Lost instances stay in the list, so that a partition does not make new senders; two instances
+ * with different lists choose at most twice the number, which the platform's bound (1.5 times the
+ * rate and a constant) allows.
+ * Measured: docs/design/gateway/cold-start.md names the tests that hold it.
  *
  * Owns: nothing; the token bucket is a part of its backend. Time is passed in.
  */
