--- a/gateway/gateway_work.c
+++ b/gateway/gateway_work.c
@@ -22,7 +22,7 @@
     const uint64_t age_ms = loop_now(gateway->loop) - gateway->stop_ms;
     if (shutdown_refuses_connections(age_ms)) {
         wire_listener_stop_accepting(callers);
-        wire_listener_close_idle(callers, shutdown_rest_max_ms(age_ms));
+        wire_listener_close_idle(callers, shutdown_idle_max_ms(age_ms));
     }
     const shutdown_input_t input = {
         .age_ms = age_ms,
--- a/gateway/inspect.c
+++ b/gateway/inspect.c
@@ -175,10 +175,10 @@
         return "zone closed";
     if (breaker_is_suspended(&backend->breaker, now))
         return "paused after failures";
-    switch (pass_over(backend, true, now)) {
-    case PASSED_RESTS:
+    switch (backend_skip_reason(backend, true, now)) {
+    case SKIP_BACKOFF:
         return "rests, as it asked for";
-    case PASSED_AT_LIMIT:
+    case SKIP_RATE_LIMITED:
         return "at the limit that it names";
     default:
         break;
@@ -197,7 +197,7 @@
     const choice_t choice = choice_make(&input);
     wire_text_printf(out, "  would go to %s, reason %s, passed over before it: %s\n",
                      choice.backend != NULL ? choice.backend->info.id.ptr : "none",
-                     choice_reason_name(choice.reason), passed_name(choice.passed));
+                     choice_reason_name(choice.reason), skip_reason_name(choice.skip_reason));
     for (size_t i = 0; i < router->catalog.backends.count; i++) {
         const backend_t *backend = router->catalog.backends.items[i];
         if (!name_eq(&backend->info.service, name_str(name)))
--- a/gateway/membership/account_report.c
+++ b/gateway/membership/account_report.c
@@ -68,10 +68,11 @@
         use->unanswered_ms = 0;
     }
     if (grant->unknown) {
-        use->gate = (account_gate_t){0};
+        use->gate = (account_limiter_t){0};
         return;
     }
-    account_gate_tell(&use->gate, grant->limited, grant->share_per_s, account_news_now(news));
+    account_limiter_set_share(&use->gate, grant->limited, grant->share_per_s,
+                              account_news_now(news));
     use->told_owner = owner;
     use->room = grant->room;
     use->region_per_s = grant->region_per_s;
--- a/gateway/membership/directory.c
+++ b/gateway/membership/directory.c
@@ -1,5 +1,5 @@
 #include "gateway/membership/directory.h"
-#include "gateway/policy/naming.h"
+#include "gateway/policy/subset.h"
 
 static bool
 is_named(const member_t *member, uint64_t now_ms)
@@ -11,14 +11,14 @@
 /* The instances of a data hall that could be named; returns their number. */
 static size_t
 collect_hall(const members_t *members, str_t hall, uint64_t now_ms,
-             naming_instance_t out[MEMBERS_MAX])
+             subset_instance_t out[MEMBERS_MAX])
 {
     size_t count = 0;
     for (size_t i = 0; i < members->count && count < MEMBERS_MAX; i++) {
         const member_t *member = &members->items[i];
         if (!is_named(member, now_ms) || !name_eq(&member->hall, hall))
             continue;
-        out[count++] = (naming_instance_t){
+        out[count++] = (subset_instance_t){
             .callers = member->callers,
             .key = member_key(name_str(&member->instance)),
             .link_bytes_per_s = member->capacity.link_bytes_per_s,
@@ -33,9 +33,9 @@
 static size_t
 pick_in_hall(const members_t *members, str_t hall, uint64_t now_ms, addr_t out[DIRECTORY_MAX])
 {
-    static naming_instance_t instances[MEMBERS_MAX];
+    static subset_instance_t instances[MEMBERS_MAX];
     const size_t count = collect_hall(members, hall, now_ms, instances);
-    const size_t named = naming_decide(instances, count);
+    const size_t named = subset_select(instances, count);
     size_t taken = 0;
     while (taken < named && taken < DIRECTORY_MAX) {
         out[taken] = instances[taken].callers;
--- a/gateway/membership/directory.h
+++ b/gateway/membership/directory.h
@@ -3,7 +3,7 @@
  *
  * Decides: the addresses in the directory's answer to a caller.
  * Inputs: the members, the caller's data hall and region, the time in milliseconds.
- * Rule: ready, living instances of the caller's data hall if there are any, as many as naming.h
+ * Rule: ready, living instances of the caller's data hall if there are any, as many as subset.h
  * says; else all of its region, else all. One that is leaving or silent for 3.25 heartbeats is not
  * named.
  *
--- a/gateway/membership/heartbeat_message.c
+++ b/gateway/membership/heartbeat_message.c
@@ -92,8 +92,8 @@
             Iris__Outcomes *outcomes = &out->outcomes[count];
             iris__outcomes__init(outcomes);
             outcomes->backend = message_text(&backend->info.id);
-            outcomes->good = backend->health.unsent_good;
-            outcomes->bad = backend->health.unsent_bad;
+            outcomes->good = backend->health.unsent_successes;
+            outcomes->bad = backend->health.unsent_failures;
             outcomes->born = backend->info.born;
             out->outcome_list[count] = outcomes;
             count++;
--- a/gateway/membership/members.h
+++ b/gateway/membership/members.h
@@ -32,7 +32,7 @@
     HEARTBEAT_MEMBER_MS = 20,
     HEARTBEAT_MAX_MS = 1200,
     /* Instances that the store must fail for an outage: those that try first where nobody watches
-     * (policy/store_turns.c). */
+     * (policy/store_schedule.c). */
     MEMBERS_WITNESSES = 4,
     STORE_AGE_NONE = 0xffffffff, /* store_age_ms of an instance that does not watch the store */
 };
--- a/gateway/membership/owner.h
+++ b/gateway/membership/owner.h
@@ -5,7 +5,7 @@
  * Decides: one member, by weighted rendezvous hashing of its name and the key, by cores, so that
  * large instances own more. All instances of a region choose alike from the same list; one whose
  * list differs for a moment turns to another owner, which the owners make up for
- * (state/account_ledgers.h, policy/named_limit.h).
+ * (state/account_ledgers.h, policy/rate_limit.h).
  * Where heartbeats tell who lives, those count that live and do not stop. One that gave no answer
  * is passed over for the next, twice: an instance that hears answers of three others too late is
  * itself slow, and must not take an account to itself. Of another region of a large fleet any
--- a/gateway/membership/permit_exchange.c
+++ b/gateway/membership/permit_exchange.c
@@ -106,7 +106,7 @@
         known++;
         heard += member_alive(member, now_ms);
     }
-    return named_limit_permits(limit_per_s, heard, known);
+    return rate_limit_permits(limit_per_s, heard, known);
 }
 
 /* Gives or refuses a permit as the owner. */
@@ -304,7 +304,7 @@
         return;
     /* An instance that stood still reads its answers before its timers run. */
     const bool given =
-        message->given && now_of(exchange) - wait->asked_ms <= (uint64_t)PERMIT_LIFE_MS;
+        message->given && now_of(exchange) - wait->asked_ms <= (uint64_t)PERMIT_LIFETIME_MS;
     const permit_cb_t cb = wait->cb;
     void *ctx = wait->ctx;
     wait->backend->permits_unanswered = 0;
--- a/gateway/membership/permit_exchange.h
+++ b/gateway/membership/permit_exchange.h
@@ -8,7 +8,7 @@
  * the request on, once. A request that gets no answer in time is as good as refused.
  *
  * Owns the requests that wait for an answer, and the buckets of the backend servers that this
- * instance owns. Relies on policy/named_limit.h for the rate, on peer/link.h.
+ * instance owns. Relies on policy/rate_limit.h for the rate, on peer/link.h.
  */
 #pragma once
 
--- a/gateway/path/access_log.c
+++ b/gateway/path/access_log.c
@@ -38,7 +38,7 @@
     static unsigned untroubled;
     static unsigned late;
     static unsigned held;
-    if (access->outcome == OUTCOME_HELD)
+    if (access->outcome == OUTCOME_QUARANTINED)
         return held++ % LOG_HELD_EVERY != 0;
     if (access->outcome != OUTCOME_ANSWERED || access->attempts != 1)
         return false;
@@ -67,7 +67,7 @@
              STR_ARG(access->id), access->fingerprint, outcome_name(access->outcome),
              access->status, or_dash(access->service), or_dash(access->account),
              or_dash(access->key), access->attempts, access->sends,
-             choice_reason_name(access->choice), passed_name(access->passed),
+             choice_reason_name(access->choice), skip_reason_name(access->passed),
              retry_verdict_name(access->retry), late_cause_name(access->late),
              or_dash(access->backend), (unsigned long long)access->elapsed_ms,
              (unsigned long long)access->left_ms, or_dash(access->config_version));
--- a/gateway/path/access_log.h
+++ b/gateway/path/access_log.h
@@ -27,7 +27,7 @@
     size_t attempts;
     uint32_t sends;         /* attempts of which bytes may have gone out */
     choice_reason_t choice; /* of the last choice */
-    passed_t passed;        /* why another backend was passed over in the last choice */
+    skip_reason_t passed;   /* why another backend was passed over in the last choice */
     retry_verdict_t retry;  /* of the last decision to retry */
     late_cause_t late;      /* why it was answered late, LATE_NOT if it was not */
     uint64_t elapsed_ms;    /* since the request's first byte */
--- a/gateway/path/dispatch.c
+++ b/gateway/path/dispatch.c
@@ -20,7 +20,7 @@
         .lost_ms = ex->lost_ms,
         .version = ex->version,
         .suspected = suspects_know(ex->owner->suspects, &ex->fingerprint),
-        .may_ask = may_ask && ex->permits_refused < PERMITS_REFUSED_MAX,
+        .may_ask = may_ask && ex->permits_refused < PERMIT_REFUSALS_MAX,
         .tried = ex->tried,
         .tried_count = ex->tried_count,
     };
@@ -63,7 +63,7 @@
     ex->permits_refused += !given;
     const uint64_t now_ms = exchange_now_ms(ex);
     if (given && backend_is_usable(backend, now_ms) &&
-        pass_over(backend, true, now_ms) == PASSED_NOT)
+        backend_skip_reason(backend, true, now_ms) == SKIP_NONE)
         dispatch_send(ex, backend);
     else
         dispatch_next(ex);
@@ -89,7 +89,7 @@
     if (verdict != PERMIT_ASKED)
         return verdict;
     ex->permit_for = backend_ref(backend);
-    ex->permit_until_ms = exchange_now_ms(ex) + PERMIT_LIFE_MS;
+    ex->permit_until_ms = exchange_now_ms(ex) + PERMIT_LIFETIME_MS;
     exchange_set_timer(ex);
     return verdict;
 }
@@ -133,7 +133,7 @@
     return (retry_input_t){
         .repeatable = ex->route->repeatable,
         .may_have_run = ex->may_have_run,
-        .held = !quarantine_may_resend(suspects_ends(ex->owner->suspects, &ex->fingerprint)),
+        .quarantined = !quarantine_may_resend(suspects_ends(ex->owner->suspects, &ex->fingerprint)),
         .backends_tried = ex->tried_count,
         .sends = ex->sends,
         .sends_max = ex->route->max_attempts,
@@ -145,7 +145,7 @@
 may_retry(exchange_t *ex)
 {
     const retry_input_t input = dispatch_retry_input(ex);
-    const retry_account_t account = router_retry_account(ex->owner->router, ex->service);
+    const retry_context_t account = router_retry_account(ex->owner->router, ex->service);
     ex->retry = retry_decide(&input, &account);
     return ex->retry == RETRY_YES;
 }
@@ -174,7 +174,7 @@
         dispatch_next(ex);
         return;
     }
-    ex->retry = RETRY_HELD;
+    ex->retry = RETRY_QUARANTINED;
     ending_refuse(ex, OUTCOME_NOT_RUN);
 }
 
--- a/gateway/path/ending.c
+++ b/gateway/path/ending.c
@@ -45,7 +45,7 @@
         .attempts = ex->tried_count,
         .sends = ex->sends,
         .choice = ex->choice.reason,
-        .passed = ex->choice.passed,
+        .passed = ex->choice.skip_reason,
         .retry = ex->retry,
         .late = outcome == OUTCOME_ANSWERED ? late_cause(ex, backend) : LATE_NOT,
         .elapsed_ms = exchange_now_ms(ex) - ex->req->begun_ms,
@@ -77,12 +77,14 @@
 void
 ending_refuse_unplaced(exchange_t *ex)
 {
-    if (ex->choice.reason != CHOICE_PASSED) {
-        ending_refuse(ex, ex->choice.reason == CHOICE_FULL ? OUTCOME_NO_ROOM : OUTCOME_NO_BACKEND);
+    if (ex->choice.reason != CHOICE_ALL_SKIPPED) {
+        ending_refuse(ex,
+                      ex->choice.reason == CHOICE_FULL ? OUTCOME_NO_CAPACITY : OUTCOME_NO_BACKEND);
         return;
     }
     const double point = rng_unit(&ex->owner->router->rng);
-    const final_answer_t answer = final_answer_passed(ex->may_have_run, ex->choice.wait_ms, point);
+    const final_answer_t answer =
+        final_answer_all_skipped(ex->may_have_run, ex->choice.wait_ms, point);
     answer_finally(ex, &answer);
 }
 
--- a/gateway/path/exchange.c
+++ b/gateway/path/exchange.c
@@ -99,8 +99,9 @@
         .newer_known = catalog_is_behind(&ex->owner->router->catalog),
     };
     ex->key = key_check(&input);
-    if (key_is_denied(ex->key) || ex->key == KEY_BEHIND) {
-        ending_refuse(ex, ex->key == KEY_BEHIND ? OUTCOME_CONFIGURATION_BEHIND : OUTCOME_DENIED);
+    if (key_is_denied(ex->key) || ex->key == KEY_CONFIGURATION_STALE) {
+        ending_refuse(ex, ex->key == KEY_CONFIGURATION_STALE ? OUTCOME_CONFIGURATION_STALE
+                                                             : OUTCOME_DENIED);
         return false;
     }
     ex->account = account;
--- a/gateway/path/time_limit.c
+++ b/gateway/path/time_limit.c
@@ -28,7 +28,7 @@
         .sent = wire_call_stage(attempt->call) != WIRE_UNSENT,
         .backend_avoided = health_is_avoided(&attempt->backend->health, exchange_now_ms(ex)),
     };
-    const retry_account_t account = router_retry_account(ex->owner->router, ex->service);
+    const retry_context_t account = router_retry_account(ex->owner->router, ex->service);
     ex->retry = retry_decide_overdue(&input, &account);
     return ex->retry == RETRY_YES;
 }
--- /dev/null
+++ b/gateway/policy/account_limiter.c
@@ -0,0 +1,94 @@
+#include "gateway/policy/account_limiter.h"
+
+#include <math.h>
+
+/* Seconds of its share that an instance may save up, one request at the least: what 67 instances
+ * have saved comes on top of the limit in the worst window. Chosen: half of the time in which a
+ * share follows its demand. */
+#define BURST_S 0.5
+/* What may be admitted before the owner knows of it; see the rule. Chosen: requests that come in
+ * pairs and triples pass, and three instances that wake together take no more than half of a room
+ * too much. */
+#define UNACKED_MIN 6.0
+#define UNACKED_BURSTS 1.5
+/* Part of an even share that an instance out of touch has at the least: one that was told next to
+ * nothing, as its owner had just taken over, refused requests of accounts at a hundredth of their
+ * limit (a soak of nine instances, one of 1,635 requests). */
+#define EQUAL_SHARE_MIN 0.5
+#define MS_PER_S 1000.0
+
+enum {
+    /* Bounds on what a refused caller is told, in milliseconds: sooner it would be refused again,
+     * and one that is told more comes to another instance all the same. */
+    RETRY_MIN_MS = 100,
+    RETRY_MAX_MS = 10000,
+};
+
+static double
+burst_size(double share_per_s)
+{
+    return fmax(1, share_per_s * BURST_S);
+}
+
+static void
+activate_bucket(account_limiter_t *limiter, double share_per_s, double tokens, uint64_t now_ms)
+{
+    bucket_init(&limiter->tokens, share_per_s, burst_size(share_per_s), now_ms);
+    limiter->tokens.tokens = tokens;
+    limiter->bucket_active = true;
+}
+
+void
+account_limiter_set_share(account_limiter_t *limiter, bool limited, double share_per_s,
+                          uint64_t now_ms)
+{
+    if (limited && !limiter->bucket_active)
+        activate_bucket(limiter, share_per_s, 0, now_ms);
+    if (!limited)
+        limiter->bucket_active = false;
+    limiter->has_share = true;
+    limiter->limited = limited;
+    limiter->share_per_s = share_per_s;
+}
+
+static double
+effective_share(const account_limiter_t *limiter, const account_limiter_input_t *input)
+{
+    if (limiter->limited)
+        return limiter->share_per_s;
+    return limiter->has_share
+               ? fmax(limiter->share_per_s, EQUAL_SHARE_MIN * input->equal_share_per_s)
+               : input->equal_share_per_s;
+}
+
+bool
+account_limiter_admit(account_limiter_t *limiter, const account_limiter_input_t *input)
+{
+    if (!limiter->limited && input->owner_reachable) {
+        limiter->bucket_active = false;
+        return (double)input->unacknowledged <
+               fmax(UNACKED_MIN, UNACKED_BURSTS * input->burst_share);
+    }
+    const double share_per_s = effective_share(limiter, input);
+    if (!limiter->bucket_active)
+        activate_bucket(limiter, share_per_s, fmin(input->burst_share, 1), input->now_ms);
+    bucket_set_rate(&limiter->tokens, share_per_s, burst_size(share_per_s), input->now_ms);
+    return bucket_take(&limiter->tokens, 1, input->now_ms);
+}
+
+void
+account_limiter_refund(account_limiter_t *limiter)
+{
+    if (limiter->bucket_active)
+        limiter->tokens.tokens = fmin(limiter->tokens.tokens + 1, limiter->tokens.burst);
+}
+
+uint32_t
+account_limiter_retry_after_ms(const account_limiter_t *limiter, double point)
+{
+    const double deficit = 1 - limiter->tokens.tokens;
+    const double wait_ms =
+        limiter->tokens.rate > 0 ? deficit / limiter->tokens.rate * MS_PER_S : INFINITY;
+    const double spread_ms = fmax(wait_ms, RETRY_MIN_MS) * (1 + point);
+    return spread_ms < RETRY_MAX_MS ? (uint32_t)spread_ms : RETRY_MAX_MS;
+}
--- a/gateway/policy/account_gate.h
+++ b/gateway/policy/account_limiter.h
@@ -1,6 +1,6 @@
 /*
- * Account gate: whether an instance takes a request of a client account now, by the account's limit
- * over all instances.
+ * Account limiter: whether an instance takes a request of a client account now, by the account's
+ * limit over all instances.
  *
  * Decides: admitted, or refused with the time after which the caller may come back.
  * Inputs: what the account's owner told last (account_share.h): whether all instances are held to
@@ -30,25 +30,26 @@
 #include "base/bucket.h"
 
 typedef struct {
-    bool told;    /* the owner told a share */
-    bool limited; /* all instances are held to their shares */
+    bool has_share; /* the owner told a share */
+    bool limited;   /* all instances are held to their shares */
     double share_per_s;
-    bool holds; /* the bucket is in force */
+    bool bucket_active; /* the bucket is in force */
     bucket_t tokens;
-} account_gate_t;
+} account_limiter_t;
 
 typedef struct {
-    bool in_touch;     /* the owner answers, or has nothing to answer */
-    double even_share; /* requests a second of an instance that was told nothing */
-    double room_part;  /* requests: the part of the room that goes with the own share */
-    uint64_t unseen;   /* requests admitted that the owner has not answered yet */
+    bool owner_reachable;     /* the owner answers, or has nothing to answer */
+    double equal_share_per_s; /* requests a second of an instance that was told nothing */
+    double burst_share;       /* requests: the part of the room that goes with the own share */
+    uint64_t unacknowledged;  /* requests admitted that the owner has not answered yet */
     uint64_t now_ms;
-} account_gate_input_t;
+} account_limiter_input_t;
 
 /* The owner tells the own share, and whether it is in force. */
-void account_gate_tell(account_gate_t *gate, bool limited, double share_per_s, uint64_t now_ms);
-bool account_gate_admits(account_gate_t *gate, const account_gate_input_t *input);
+void account_limiter_set_share(account_limiter_t *limiter, bool limited, double share_per_s,
+                               uint64_t now_ms);
+bool account_limiter_admit(account_limiter_t *limiter, const account_limiter_input_t *input);
 /* The admitted request was never sent: its token is there again. */
-void account_gate_give_back(account_gate_t *gate);
+void account_limiter_refund(account_limiter_t *limiter);
 /* Milliseconds until a refused caller may come back; `point` is random in [0, 1). */
-uint32_t account_gate_retry_after_ms(const account_gate_t *gate, double point);
+uint32_t account_limiter_retry_after_ms(const account_limiter_t *limiter, double point);
--- a/gateway/policy/account_share.c
+++ b/gateway/policy/account_share.c
@@ -7,19 +7,19 @@
 /* Room at which instances are held and let go, as parts of the bucket: a surge of 3.7 times the
  * limit's rate takes half a burst of one second within the reaction time. Chosen with the model of
  * test_account_model.c. */
-#define HOLD_BELOW 0.3
-#define LET_GO_ABOVE 0.5
+#define LIMIT_BELOW 0.3
+#define RELEASE_ABOVE 0.5
 /* And while callers ask for this many times the limit's rate: let go at half of the bucket, an
  * account of 40 requests a second was held and let go each second at 67 instances, and two sides of
  * a cut came to 81 requests too many where 44 are borne (model, seed 4). */
-#define PRESSES 1.25
-#define LET_GO_PRESSED 0.9
+#define OVERLOAD_FACTOR 1.25
+#define RELEASE_ABOVE_OVERLOADED 0.9
 /* Part of the limit's rate below which callers are far from it. Without this an owner that took
  * over with one instance, and so with next to no room, held accounts at a hundredth of their limit:
  * 3 of 6,084 requests of a soak of 16 instances. */
-#define FAR_BELOW 0.1
+#define IDLE_FRACTION 0.1
 /* A bucket counts as full from here. */
-#define FULL 0.95
+#define FULL_FRACTION 0.95
 /* Requests by which the room may fall further before instances are held: an account of a few
  * requests a second would be held for three that came together. A fifth of the 20 that operators
  * bear. */
@@ -42,23 +42,24 @@
 
 /* Room from which instances are let go. */
 static double
-let_go_above(const account_share_input_t *input)
+release_threshold(const account_share_input_t *input)
 {
-    const bool presses = input->asked_per_s > PRESSES * input->rate_per_s;
-    return (presses ? LET_GO_PRESSED : LET_GO_ABOVE) * input->depth;
+    const bool overloaded = input->asked_per_s > OVERLOAD_FACTOR * input->rate_per_s;
+    return (overloaded ? RELEASE_ABOVE_OVERLOADED : RELEASE_ABOVE) * input->depth;
 }
 
 bool
 account_share_limits(const account_share_input_t *input)
 {
-    if (input->asked_known && input->asked_per_s < FAR_BELOW * input->rate_per_s)
+    if (input->asked_known && input->asked_per_s < IDLE_FRACTION * input->rate_per_s)
         return false;
     if (input->limited) {
         const double excess = (input->asked_per_s - input->rate_per_s) * REACTION_S;
-        return input->room < fmin(fmax(let_go_above(input), excess), FULL * input->depth);
+        return input->room <
+               fmin(fmax(release_threshold(input), excess), FULL_FRACTION * input->depth);
     }
     const double excess = (input->used_per_s - input->rate_per_s) * REACTION_S;
-    return input->room < fmax(HOLD_BELOW * input->depth, excess) - TOLERANCE;
+    return input->room < fmax(LIMIT_BELOW * input->depth, excess) - TOLERANCE;
 }
 
 double
--- a/gateway/policy/admission.c
+++ b/gateway/policy/admission.c
@@ -12,7 +12,7 @@
 
 /* True if the request came back after a refusal and so cannot be in time any more. */
 static bool
-came_back(const admission_request_t *request)
+is_retry_after_refusal(const admission_request_t *request)
 {
     return request->lost_ms > CAME_BACK_SHARE * (request->left_ms + request->lost_ms);
 }
@@ -20,7 +20,7 @@
 /* Time until a slot is free for one more request, in working times. The first of the running
  * requests ends after half of the mean time between two ends. */
 static double
-wait_turns(const admission_backend_t *backend)
+queue_wait_factor(const admission_backend_t *backend)
 {
     const double ahead = backend->load + 1 - backend->slots;
     return ahead > 0 ? (ahead - 0.5) / backend->slots : 0;
@@ -30,22 +30,22 @@
  * holds runs without it too: going by it alone refused 0.069 instead of 0.060 of the requests of
  * padana-ricambi (round 4). */
 static double
-work_ms(const admission_request_t *request, const admission_backend_t *backend)
+service_time_ms(const admission_request_t *request, const admission_backend_t *backend)
 {
-    const bool shorter = request->usual_ms > 0 && request->usual_ms < backend->work_ms;
-    return shorter ? request->usual_ms : backend->work_ms;
+    const bool shorter = request->median_ms > 0 && request->median_ms < backend->work_ms;
+    return shorter ? request->median_ms : backend->work_ms;
 }
 
 static bool
-may_wait(const admission_request_t *request, const admission_backend_t *backend)
+may_queue(const admission_request_t *request, const admission_backend_t *backend)
 {
     const double load = (backend->load + 1) / backend->slots;
-    const double expected_ms = work_ms(request, backend) * (1 + wait_turns(backend));
+    const double expected_ms = service_time_ms(request, backend) * (1 + queue_wait_factor(backend));
     if (expected_ms > request->left_ms)
         return false;
-    if (came_back(request))
+    if (is_retry_after_refusal(request))
         return load <= LATE_LOAD_MAX;
-    return load <= LOAD_MAX && (request->aim_ms == 0 || expected_ms <= request->aim_ms);
+    return load <= LOAD_MAX && (request->objective_ms == 0 || expected_ms <= request->objective_ms);
 }
 
 admission_t
@@ -53,5 +53,5 @@
 {
     if (backend->load + 1 <= backend->slots)
         return ADMIT_NOW;
-    return may_wait(request, backend) ? ADMIT_AFTER_WAIT : ADMIT_NOT;
+    return may_queue(request, backend) ? ADMIT_AFTER_WAIT : ADMIT_NOT;
 }
--- a/gateway/policy/admission.h
+++ b/gateway/policy/admission.h
@@ -32,10 +32,10 @@
 } admission_t;
 
 typedef struct {
-    uint32_t aim_ms;  /* the route's latency objective, 0 for none */
-    double usual_ms;  /* median time of the route's answers, 0 if not known */
-    uint32_t left_ms; /* time that the caller still waits */
-    double lost_ms;   /* that it has lost by earlier refusals */
+    uint32_t objective_ms; /* the route's latency objective, 0 for none */
+    double median_ms;      /* median time of the route's answers, 0 if not known */
+    uint32_t left_ms;      /* time that the caller still waits */
+    double lost_ms;        /* that it has lost by earlier refusals */
 } admission_request_t;
 
 typedef struct {
--- a/gateway/policy/rest.h
+++ b/gateway/policy/backoff.h
@@ -27,15 +27,15 @@
 typedef struct {
     uint64_t until_ms; /* 0: never asked for, or over and proven so */
     bool probing;      /* the one request after it is under way */
-} rest_t;
+} backoff_t;
 
 /* The backend server asks for so long a rest. */
-void rest_ask(rest_t *rest, uint64_t wish_ms, uint64_t now_ms);
+void backoff_request(backoff_t *backoff, uint64_t delay_ms, uint64_t now_ms);
 /* True if a request may be sent. */
-bool rest_allows(const rest_t *rest, uint64_t now_ms);
+bool backoff_allows(const backoff_t *backoff, uint64_t now_ms);
 /* True if the time asked for is not over. */
-bool rest_is_on(const rest_t *rest, uint64_t now_ms);
+bool backoff_is_active(const backoff_t *backoff, uint64_t now_ms);
 /* A request is about to be sent. */
-void rest_attempt_started(rest_t *rest);
+void backoff_attempt_started(backoff_t *backoff);
 /* A request has ended that was sent at that time; `answered`: with an answer of a run. */
-void rest_attempt_ended(rest_t *rest, uint64_t sent_ms, bool answered);
+void backoff_attempt_ended(backoff_t *backoff, uint64_t sent_ms, bool answered);
--- a/gateway/policy/choice.c
+++ b/gateway/policy/choice.c
@@ -34,7 +34,7 @@
 {
     const uint64_t pair[] = {input->object, backend->key};
     const uint64_t hash = str_hash((str_t){(const char *)pair, sizeof(pair)}, 0);
-    return (double)backend->info.capacity / -log(choice_unit(hash));
+    return (double)backend->info.capacity / -log(choice_hash_to_unit(hash));
 }
 
 static bool
@@ -49,7 +49,7 @@
 
 /* True if the request may go to the backend, whatever state that is in. */
 static bool
-serves(const choice_input_t *input, const backend_t *backend)
+is_eligible(const choice_input_t *input, const backend_t *backend)
 {
     return name_eq(&backend->info.service, input->service) && !was_tried(input, backend) &&
            (input->version == 0 || backend->info.version == input->version) &&
@@ -58,7 +58,7 @@
 
 /* True if the backend is warm, or this instance may send a cold one a request now. */
 static bool
-is_in_pace(const choice_input_t *input, backend_t *backend)
+within_cold_start_rate(const choice_input_t *input, backend_t *backend)
 {
     if (!backend_is_cold(backend, input->now_ms))
         return true;
@@ -98,41 +98,43 @@
     }
 }
 
-/* The best of those that are passed over. */
+/* The best of those that are skipped. */
 typedef struct {
-    passed_t why;
+    skip_reason_t reason;
     double score;
     size_t region;
     uint64_t wait_ms; /* the shortest of all */
-} passed_best_t;
+} best_skipped_t;
 
 static void
-note_passed(const choice_input_t *input, const backend_t *backend, passed_t why,
-            passed_best_t *best)
+record_skipped(const choice_input_t *input, const backend_t *backend, skip_reason_t reason,
+               best_skipped_t *best)
 {
     const double score = rendezvous_score(input, backend);
-    const uint64_t wait_ms = pass_over_wait_ms(backend, input->now_ms);
+    const uint64_t wait_ms = backend_skip_wait_ms(backend, input->now_ms);
     if (wait_ms > 0 && (best->wait_ms == 0 || wait_ms < best->wait_ms))
         best->wait_ms = wait_ms;
-    if (best->why != PASSED_NOT && best->score >= score)
+    if (best->reason != SKIP_NONE && best->score >= score)
         return;
-    best->why = why;
+    best->reason = reason;
     best->score = score;
     best->region = backend->region;
 }
 
 static size_t
-collect(const choice_input_t *input, candidate_t *out, passed_best_t *passed)
+collect_candidates(const choice_input_t *input, candidate_t *out, best_skipped_t *skipped)
 {
     size_t count = 0;
     for (size_t i = 0; i < input->backends->count && count < CANDIDATES_MAX; i++) {
         backend_t *backend = input->backends->items[i];
-        if (!serves(input, backend))
+        if (!is_eligible(input, backend))
             continue;
-        const passed_t why = pass_over(backend, input->may_ask, input->now_ms);
-        if (why != PASSED_NOT)
-            note_passed(input, backend, why, passed);
-        else if (backend_is_usable(backend, input->now_ms) && is_in_pace(input, backend))
+        const skip_reason_t reason =
+            backend_skip_reason(backend, input->may_request_permit, input->now_ms);
+        if (reason != SKIP_NONE)
+            record_skipped(input, backend, reason, skipped);
+        else if (backend_is_usable(backend, input->now_ms) &&
+                 within_cold_start_rate(input, backend))
             out[count++] =
                 (candidate_t){.backend = backend, .score = rendezvous_score(input, backend)};
     }
@@ -146,10 +148,11 @@
     return backend_load(backend, input->now_ms) / backend->info.capacity;
 }
 
-/* The best candidates of an area, in the request's order, at most `most`; returns their number. */
+/* The best candidates of an area, in the request's order, at most `max_count`; returns their
+ * number. */
 static size_t
 find_replicas(const choice_input_t *input, const candidate_t *candidates, size_t count,
-              const choice_area_t *area, candidate_t *out, size_t most)
+              const choice_area_t *area, candidate_t *out, size_t max_count)
 {
     size_t found = 0;
     for (size_t i = 0; i < count; i++) {
@@ -158,9 +161,9 @@
         size_t at = found;
         while (at > 0 && out[at - 1].score < candidates[i].score)
             at--;
-        if (at == most)
+        if (at == max_count)
             continue;
-        if (found < most)
+        if (found < max_count)
             found++;
         for (size_t k = found - 1; k > at; k--)
             out[k] = out[k - 1];
@@ -213,16 +216,16 @@
 pick_replica(const choice_input_t *input, const candidate_t *replicas, size_t count,
              admission_t *admission)
 {
-    size_t waits_at = count;
+    size_t queue_at = count;
     for (size_t i = 0; i < count; i++) {
         *admission = admit(input, replicas[i].backend);
         if (*admission == ADMIT_NOW || (*admission == ADMIT_AFTER_WAIT && input->has_object))
             return i;
-        if (*admission == ADMIT_AFTER_WAIT && waits_at == count)
-            waits_at = i;
+        if (*admission == ADMIT_AFTER_WAIT && queue_at == count)
+            queue_at = i;
     }
-    *admission = waits_at < count ? ADMIT_AFTER_WAIT : ADMIT_NOT;
-    return waits_at;
+    *admission = queue_at < count ? ADMIT_AFTER_WAIT : ADMIT_NOT;
+    return queue_at;
 }
 
 /* Cuts the candidates of an area down to the object's replicas, the least loaded first; returns
@@ -247,13 +250,13 @@
 }
 
 static choice_reason_t
-reason_of(bool elsewhere, admission_t admission, size_t index)
+admitted_reason(bool other_region, admission_t admission, size_t index)
 {
-    if (elsewhere)
-        return CHOICE_ELSEWHERE;
+    if (other_region)
+        return CHOICE_OTHER_REGION;
     if (admission == ADMIT_AFTER_WAIT)
         return CHOICE_QUEUED;
-    return index > 0 ? CHOICE_LATER : CHOICE_FIRST;
+    return index > 0 ? CHOICE_FALLBACK : CHOICE_FIRST;
 }
 
 /* The candidates of an area that the request looks at, in their order. */
@@ -263,15 +266,15 @@
 {
     if (input->suspected)
         return find_least_loaded(input, candidates, count, area, out);
-    const size_t most = input->has_object ? REPLICAS_MAX : REPLICAS_ANY;
-    const size_t found = find_replicas(input, candidates, count, area, out, most);
+    const size_t max_count = input->has_object ? REPLICAS_MAX : REPLICAS_ANY;
+    const size_t found = find_replicas(input, candidates, count, area, out, max_count);
     return input->has_object ? keep_replicas(input, out, found) : found;
 }
 
 /* Looks for a backend in one area after the other; false if none admits the request. */
 static bool
-pick(const choice_input_t *input, const candidate_t *candidates, size_t count,
-     const passed_best_t *passed, choice_t *choice)
+pick_backend(const choice_input_t *input, const candidate_t *candidates, size_t count,
+             const best_skipped_t *skipped, choice_t *choice)
 {
     choice_area_t areas[CHOICE_AREAS_MAX];
     candidate_t replicas[REPLICAS_MAX];
@@ -279,19 +282,19 @@
     bool any = false;
     for (size_t i = 0; i < area_count; i++) {
         admission_t admission;
-        const bool elsewhere = areas[i].region != areas[0].region;
-        if (elsewhere && any)
+        const bool other_region = areas[i].region != areas[0].region;
+        if (other_region && any)
             break;
         const size_t found = find_in_area(input, candidates, count, &areas[i], replicas);
         const size_t picked = pick_replica(input, replicas, found, &admission);
         any |= found > 0;
         if (picked == found)
             continue;
-        choice->reason = reason_of(elsewhere, admission, picked);
+        choice->reason = admitted_reason(other_region, admission, picked);
         choice->backend = replicas[picked].backend;
-        if (passed->region == areas[0].region &&
-            (elsewhere || passed->score > replicas[picked].score))
-            choice->passed = passed->why;
+        if (skipped->region == areas[0].region &&
+            (other_region || skipped->score > replicas[picked].score))
+            choice->skip_reason = skipped->reason;
         return true;
     }
     return false;
@@ -301,17 +304,17 @@
 choice_make(const choice_input_t *input)
 {
     static candidate_t candidates[CANDIDATES_MAX];
-    passed_best_t passed = {0};
+    best_skipped_t skipped = {0};
     choice_t choice = {0};
-    const size_t count = collect(input, candidates, &passed);
-    if (pick(input, candidates, count, &passed, &choice))
+    const size_t count = collect_candidates(input, candidates, &skipped);
+    if (pick_backend(input, candidates, count, &skipped, &choice))
         return choice;
-    choice.passed = passed.why;
-    choice.wait_ms = passed.wait_ms;
+    choice.skip_reason = skipped.reason;
+    choice.wait_ms = skipped.wait_ms;
     if (count > 0)
         choice.reason = CHOICE_FULL;
     else
-        choice.reason = passed.why != PASSED_NOT ? CHOICE_PASSED : CHOICE_NONE;
+        choice.reason = skipped.reason != SKIP_NONE ? CHOICE_ALL_SKIPPED : CHOICE_NONE;
     return choice;
 }
 
@@ -319,8 +322,12 @@
 choice_reason_name(choice_reason_t reason)
 {
     static const char *const names[] = {
-        [CHOICE_FIRST] = "first",   [CHOICE_LATER] = "later", [CHOICE_ELSEWHERE] = "elsewhere",
-        [CHOICE_QUEUED] = "queued", [CHOICE_FULL] = "full",   [CHOICE_PASSED] = "passed",
+        [CHOICE_FIRST] = "first",
+        [CHOICE_FALLBACK] = "later",
+        [CHOICE_OTHER_REGION] = "elsewhere",
+        [CHOICE_QUEUED] = "queued",
+        [CHOICE_FULL] = "full",
+        [CHOICE_ALL_SKIPPED] = "passed",
         [CHOICE_NONE] = "none",
     };
     return names[reason];
--- a/gateway/policy/choice.h
+++ b/gateway/policy/choice.h
@@ -18,8 +18,8 @@
  *  - A request under which a backend server has ended goes to the backend of the area with the
  *    fewest requests a slot, warm before cold, whatever its object: should this one end too, fewer
  *    are taken with it.
- *  - What a backend server tells of itself may have it passed over (pass_over.h); the next one in
- *    the request's order gets the request then.
+ *  - What a backend server tells of itself may have it passed over (backend_skip.h); the next one
+ * in the request's order gets the request then.
  *  - Avoided backends (health.h) come after all others of their region, unless too many would be
  *    avoided. Cold ones take requests at their pace from their senders only (cold_start.h).
  * Reason: a request about an object that the backend does not have in memory runs 3.3 times as
@@ -35,26 +35,27 @@
 
 #include "gateway/policy/admission.h"
 #include "gateway/policy/cold_start.h"
-#include "gateway/policy/pass_over.h"
+#include "gateway/policy/backend_skip.h"
 #include "gateway/policy/region_plan.h"
 #include "gateway/state/backends.h"
 #include "gateway/state/config.h"
 
 typedef enum {
-    CHOICE_FIRST,     /* the first in the request's order in the planned region */
-    CHOICE_LATER,     /* a later one there */
-    CHOICE_ELSEWHERE, /* another region, since the planned one has no backend that may be used */
-    CHOICE_QUEUED,    /* it has to queue at the backend */
-    CHOICE_FULL,      /* none: no backend admits it */
-    CHOICE_PASSED,    /* none: all that might are passed over (pass_over.h) */
-    CHOICE_NONE,      /* none: no backend may get requests */
+    CHOICE_FIRST,        /* the first in the request's order in the planned region */
+    CHOICE_FALLBACK,     /* a later one there */
+    CHOICE_OTHER_REGION, /* another region, since the planned one has no backend that may be used */
+    CHOICE_QUEUED,       /* it has to queue at the backend */
+    CHOICE_FULL,         /* none: no backend admits it */
+    CHOICE_ALL_SKIPPED,  /* none: all that might are passed over (backend_skip.h) */
+    CHOICE_NONE,         /* none: no backend may get requests */
 } choice_reason_t;
 
 typedef struct {
     backend_t *backend; /* NULL if none takes the request; the backend list owns it */
     choice_reason_t reason;
-    passed_t passed;  /* why the backend before it in the request's order was passed over */
-    uint64_t wait_ms; /* CHOICE_PASSED: time until one may get a request; 0 if not known */
+    skip_reason_t
+        skip_reason;  /* why the backend before it in the request's order was passed over */
+    uint64_t wait_ms; /* CHOICE_ALL_SKIPPED: time until one may get a request; 0 if not known */
 } choice_t;
 
 typedef struct {
@@ -68,10 +69,10 @@
     size_t own_region;
     uint64_t object; /* hash of the object, or a random number without one */
     bool has_object;
-    uint64_t version;     /* only backends of that software version; 0: any */
-    bool suspected;       /* a backend server has ended under the request (quarantine.h) */
-    bool may_ask;         /* the request may ask for a permit (pass_over.h) */
-    double object_demand; /* slots that requests about the object keep busy */
+    uint64_t version;        /* only backends of that software version; 0: any */
+    bool suspected;          /* a backend server has ended under the request (quarantine.h) */
+    bool may_request_permit; /* the request may ask for a permit (backend_skip.h) */
+    double object_demand;    /* slots that requests about the object keep busy */
     uint64_t now_ms;
     uint64_t own_key;             /* of this instance among `senders` */
     const cold_sender_t *senders; /* all instances ever heard of */
--- a/gateway/policy/choice_areas.c
+++ b/gateway/policy/choice_areas.c
@@ -1,13 +1,13 @@
 #include "gateway/policy/choice_areas.h"
 
 double
-choice_unit(uint64_t hash)
+choice_hash_to_unit(uint64_t hash)
 {
     return ((double)(hash >> 11) + 0.5) * 0x1.0p-53;
 }
 
 static bool
-is_bound(const choice_input_t *input)
+has_region_constraint(const choice_input_t *input)
 {
     return input->route->regions.count > 0 ||
            (input->account != NULL && input->account->regions.count > 0);
@@ -19,7 +19,7 @@
 choice_allows_region(const choice_input_t *input, size_t region)
 {
     if (region >= input->topology->region_count)
-        return !is_bound(input);
+        return !has_region_constraint(input);
     const str_t name = name_str(&input->topology->regions[region]);
     return config_allows_region(&input->route->regions, name) &&
            (input->account == NULL || config_allows_region(&input->account->regions, name));
@@ -31,13 +31,13 @@
     if (backend->region != area->region)
         return false;
     const bool own = name_eq(&backend->info.hall, input->own_hall);
-    return area->halls == HALLS_ALL || own == (area->halls == HALLS_OWN);
+    return area->halls == HALL_SCOPE_ALL || own == (area->halls == HALL_SCOPE_OWN);
 }
 
 /* The region of a request that may not go where the plan has it: those that it may go to share its
  * like in the plan's proportions, or by their slots if the plan sends nothing there. */
 static size_t
-bound_region(const choice_input_t *input, double point)
+pick_allowed_region(const choice_input_t *input, double point)
 {
     const region_plan_t *plan = input->plan;
     double weight[TOPOLOGY_REGIONS_MAX];
@@ -45,9 +45,9 @@
     size_t last = input->own_region;
     for (size_t i = 0; i < plan->region_count; i++) {
         sums[0] += choice_allows_region(input, i) ? plan->share[i] : 0;
-        sums[1] += choice_allows_region(input, i) ? plan->room[i] : 0;
+        sums[1] += choice_allows_region(input, i) ? plan->slots[i] : 0;
     }
-    const double *from = sums[0] > 0 ? plan->share : plan->room;
+    const double *from = sums[0] > 0 ? plan->share : plan->slots;
     double left = point * (sums[0] > 0 ? sums[0] : sums[1]);
     for (size_t i = 0; i < plan->region_count; i++) {
         weight[i] = choice_allows_region(input, i) ? from[i] : 0;
@@ -64,10 +64,10 @@
 static size_t
 planned_region(const choice_input_t *input)
 {
-    const double point = choice_unit(input->object);
+    const double point = choice_hash_to_unit(input->object);
     const size_t planned = input->route->large ? region_plan_pick_large(input->plan, point)
                                                : region_plan_pick(input->plan, point);
-    return choice_allows_region(input, planned) ? planned : bound_region(input, point);
+    return choice_allows_region(input, planned) ? planned : pick_allowed_region(input, point);
 }
 
 size_t
@@ -76,17 +76,17 @@
     size_t count = 0;
     const bool large = input->route->large;
     const size_t planned = planned_region(input);
-    const bool near = large && planned == input->own_region;
-    if (near)
-        areas[count++] = (choice_area_t){planned, HALLS_OWN};
-    areas[count++] = (choice_area_t){planned, near ? HALLS_OTHERS : HALLS_ALL};
+    const bool own_hall_first = large && planned == input->own_region;
+    if (own_hall_first)
+        areas[count++] = (choice_area_t){planned, HALL_SCOPE_OWN};
+    areas[count++] = (choice_area_t){planned, own_hall_first ? HALL_SCOPE_OTHERS : HALL_SCOPE_ALL};
     if (planned != input->own_region)
-        areas[count++] = (choice_area_t){input->own_region, HALLS_ALL};
+        areas[count++] = (choice_area_t){input->own_region, HALL_SCOPE_ALL};
     for (size_t i = 0; i < input->topology->region_count; i++) {
         if (i != planned && i != input->own_region)
-            areas[count++] = (choice_area_t){i, HALLS_ALL};
+            areas[count++] = (choice_area_t){i, HALL_SCOPE_ALL};
     }
     /* Backend servers of data halls that the settings do not list come last. */
-    areas[count++] = (choice_area_t){TOPOLOGY_NO_REGION, HALLS_ALL};
+    areas[count++] = (choice_area_t){TOPOLOGY_NO_REGION, HALL_SCOPE_ALL};
     return count;
 }
--- a/gateway/policy/cold_start.c
+++ b/gateway/policy/cold_start.c
@@ -24,19 +24,19 @@
 cold_start_is_sender(uint64_t backend_key, size_t backend_region, uint64_t own_key,
                      const cold_sender_t *instances, size_t count)
 {
-    bool own_near = false;
-    bool any_near = false;
+    bool own_in_region = false;
+    bool any_in_region = false;
     for (size_t i = 0; i < count; i++) {
-        const bool near = instances[i].region == backend_region;
-        any_near |= near;
-        own_near |= near && instances[i].key == own_key;
+        const bool in_region = instances[i].region == backend_region;
+        any_in_region |= in_region;
+        own_in_region |= in_region && instances[i].key == own_key;
     }
-    if (any_near && !own_near)
+    if (any_in_region && !own_in_region)
         return false;
     const uint64_t own_rank = rank(backend_key, own_key);
     size_t before = 0;
     for (size_t i = 0; i < count; i++) {
-        if (any_near && instances[i].region != backend_region)
+        if (any_in_region && instances[i].region != backend_region)
             continue;
         before += rank(backend_key, instances[i].key) < own_rank;
     }
--- a/gateway/policy/final_answer.c
+++ b/gateway/policy/final_answer.c
@@ -7,26 +7,26 @@
 enum { RETRY_AFTER_MS = 400 };
 
 /* Callers come back within as long after the time told. */
-enum { RETURN_SPREAD_MS = 200 };
+enum { RETRY_JITTER_MS = 200 };
 
 /* Uptime at which nine in ten of 295 instances that start together serve: 0.71 s (log of a day on
  * which all restart). With 1.6 s here callers came back too late for their objective of 1.5 s:
  * 3,423 of 8,540 in time in the two seconds after that restart, 5,190 with 0.4 s whatever the
  * uptime. */
-enum { SERVES_AFTER_MS = 800 };
+enum { STARTUP_MS = 800 };
 
 static uint32_t
 retry_after_ms(outcome_t outcome, uint64_t uptime_ms)
 {
-    const bool starts =
-        outcome == OUTCOME_NO_CONFIGURATION && uptime_ms + RETRY_AFTER_MS < SERVES_AFTER_MS;
-    return starts ? (uint32_t)(SERVES_AFTER_MS - uptime_ms) : RETRY_AFTER_MS;
+    const bool starting =
+        outcome == OUTCOME_NO_CONFIGURATION && uptime_ms + RETRY_AFTER_MS < STARTUP_MS;
+    return starting ? (uint32_t)(STARTUP_MS - uptime_ms) : RETRY_AFTER_MS;
 }
 
 outcome_t
 final_answer_no_route(bool newer_known)
 {
-    return newer_known ? OUTCOME_CONFIGURATION_BEHIND : OUTCOME_NO_ROUTE;
+    return newer_known ? OUTCOME_CONFIGURATION_STALE : OUTCOME_NO_ROUTE;
 }
 
 final_answer_t
@@ -52,13 +52,13 @@
 }
 
 final_answer_t
-final_answer_passed(bool may_have_run, uint64_t wait_ms, double point)
+final_answer_all_skipped(bool may_have_run, uint64_t wait_ms, double point)
 {
-    final_answer_t answer = final_answer(OUTCOME_PASSED_OVER, may_have_run, 0);
+    final_answer_t answer = final_answer(OUTCOME_ALL_SKIPPED, may_have_run, 0);
     if (may_have_run || wait_ms == 0)
         return answer;
-    const uint64_t back_ms = wait_ms + (uint64_t)(point * RETURN_SPREAD_MS);
-    answer.retry_after_ms = back_ms < UINT32_MAX ? (uint32_t)back_ms : UINT32_MAX;
+    const uint64_t delay_ms = wait_ms + (uint64_t)(point * RETRY_JITTER_MS);
+    answer.retry_after_ms = delay_ms < UINT32_MAX ? (uint32_t)delay_ms : UINT32_MAX;
     return answer;
 }
 
@@ -66,7 +66,7 @@
 final_answer_held(uint64_t held_ms)
 {
     const uint32_t retry_after = held_ms < UINT32_MAX ? (uint32_t)held_ms : UINT32_MAX;
-    return (final_answer_t){HTTP_STATUS_SERVICE_UNAVAILABLE, retry_after, OUTCOME_HELD};
+    return (final_answer_t){HTTP_STATUS_SERVICE_UNAVAILABLE, retry_after, OUTCOME_QUARANTINED};
 }
 
 const char *
@@ -76,12 +76,12 @@
         [OUTCOME_ANSWERED] = "answered",
         [OUTCOME_BACKEND_FAILED] = "upstream_failed",
         [OUTCOME_NOT_RUN] = "not_run",
-        [OUTCOME_NO_ROOM] = "no_room",
+        [OUTCOME_NO_CAPACITY] = "no_room",
         [OUTCOME_NO_BACKEND] = "no_upstream",
-        [OUTCOME_PASSED_OVER] = "passed_over",
-        [OUTCOME_HELD] = "held",
+        [OUTCOME_ALL_SKIPPED] = "passed_over",
+        [OUTCOME_QUARANTINED] = "held",
         [OUTCOME_NO_CONFIGURATION] = "no_configuration",
-        [OUTCOME_CONFIGURATION_BEHIND] = "configuration_behind",
+        [OUTCOME_CONFIGURATION_STALE] = "configuration_behind",
         [OUTCOME_NO_ROUTE] = "no_route",
         [OUTCOME_DENIED] = "denied",
         [OUTCOME_OVER_LIMIT] = "over_limit",
--- a/gateway/policy/final_answer.h
+++ b/gateway/policy/final_answer.h
@@ -24,22 +24,22 @@
 /* How a request ended: the label `outcome` of irisstall_requests_total and of the log. */
 typedef enum {
     OUTCOME_ANSWERED,
-    OUTCOME_BACKEND_FAILED,       /* the backend's own 5xx was passed on */
-    OUTCOME_NOT_RUN,              /* attempts failed, none of them ran the request */
-    OUTCOME_NO_ROOM,              /* not admitted anywhere */
-    OUTCOME_NO_BACKEND,           /* no backend of the service may be used */
-    OUTCOME_PASSED_OVER,          /* those that may take no more now, as they say themselves */
-    OUTCOME_HELD,                 /* refused: backend servers have ended under it */
-    OUTCOME_NO_CONFIGURATION,     /* this instance has just started */
-    OUTCOME_CONFIGURATION_BEHIND, /* no route, and a newer configuration is known of */
-    OUTCOME_NO_ROUTE,             /* the configuration has none for it */
-    OUTCOME_DENIED,               /* no client account has its key */
-    OUTCOME_OVER_LIMIT,           /* its client account is beyond its limit */
-    OUTCOME_UNKNOWN,              /* it may have run, its answer is lost */
-    OUTCOME_TIMEOUT,              /* the same, at its deadline */
-    OUTCOME_TIMEOUT_UNSENT,       /* its deadline passed and it certainly has not run */
-    OUTCOME_CUT_BY_BACKEND,       /* the backend broke off an answer that was being passed on */
-    OUTCOME_CUT_AT_DEADLINE,      /* the deadline passed while an answer was being passed on */
+    OUTCOME_BACKEND_FAILED,      /* the backend's own 5xx was passed on */
+    OUTCOME_NOT_RUN,             /* attempts failed, none of them ran the request */
+    OUTCOME_NO_CAPACITY,         /* not admitted anywhere */
+    OUTCOME_NO_BACKEND,          /* no backend of the service may be used */
+    OUTCOME_ALL_SKIPPED,         /* those that may take no more now, as they say themselves */
+    OUTCOME_QUARANTINED,         /* refused: backend servers have ended under it */
+    OUTCOME_NO_CONFIGURATION,    /* this instance has just started */
+    OUTCOME_CONFIGURATION_STALE, /* no route, and a newer configuration is known of */
+    OUTCOME_NO_ROUTE,            /* the configuration has none for it */
+    OUTCOME_DENIED,              /* no client account has its key */
+    OUTCOME_OVER_LIMIT,          /* its client account is beyond its limit */
+    OUTCOME_UNKNOWN,             /* it may have run, its answer is lost */
+    OUTCOME_TIMEOUT,             /* the same, at its deadline */
+    OUTCOME_TIMEOUT_UNSENT,      /* its deadline passed and it certainly has not run */
+    OUTCOME_CUT_BY_BACKEND,      /* the backend broke off an answer that was being passed on */
+    OUTCOME_CUT_AT_DEADLINE,     /* the deadline passed while an answer was being passed on */
     OUTCOME_CALLER_LEFT,
     OUTCOME_COUNT, /* not an outcome */
 } outcome_t;
@@ -57,10 +57,10 @@
 /* The answer to a request of a client account that is beyond its limit: it comes back when there is
  * room. */
 final_answer_t final_answer_over_limit(uint32_t retry_after_ms);
-/* The answer to a request for which every backend is passed over (pass_over.h), the first one for
- * `wait_ms`, 0 if that is not known; `point`: random in [0, 1). Callers refused together do not
+/* The answer to a request for which every backend is passed over (backend_skip.h), the first one
+ * for `wait_ms`, 0 if that is not known; `point`: random in [0, 1). Callers refused together do not
  * come back together. */
-final_answer_t final_answer_passed(bool may_have_run, uint64_t wait_ms, double point);
+final_answer_t final_answer_all_skipped(bool may_have_run, uint64_t wait_ms, double point);
 /* The answer to a request that is held for that time before anything of it was sent: it comes back
  * to be tried, not sooner. */
 final_answer_t final_answer_held(uint64_t held_ms);
--- a/gateway/policy/health.c
+++ b/gateway/policy/health.c
@@ -6,7 +6,7 @@
  * 0.25 instead of 0.6 lowered the credit of the recorded day inc-ad55 from 0.855 to 0.826, with
  * hysteresis to 0.785; with 0.6 it was 0.840 and other days were within noise (commit 35bcf57). */
 #define AVOID_RATE 0.6
-#define FORGIVE_RATE 0.25
+#define RECOVER_RATE 0.25
 /* Outcomes are averaged over this time in milliseconds; where they are rarer, over this number of
  * outcomes, however old. Judging by the last five outcomes instead lowered padana-ricambi trouble-1
  * from 0.626 to 0.571 (commit 28ac3e3). */
@@ -15,7 +15,7 @@
 /* How fast the rate decays, in milliseconds: slowly while the backend is in use, so that rare
  * requests can tell as well, and fast while it is avoided and few outcomes come. Chosen, not
  * measured. */
-#define USED_HALF_LIFE_MS 20000.0
+#define ACTIVE_HALF_LIFE_MS 20000.0
 #define AVOIDED_HALF_LIFE_MS 3000.0
 /* Above this rate successes are sent to the other instances too, so that all forgive at the same
  * time. Chosen, not measured. */
@@ -24,13 +24,13 @@
 static double
 age_ms(const health_t *health, uint64_t now_ms)
 {
-    return now_ms > health->at_ms ? (double)(now_ms - health->at_ms) : 0;
+    return now_ms > health->updated_ms ? (double)(now_ms - health->updated_ms) : 0;
 }
 
 static double
 rate_at(const health_t *health, uint64_t now_ms)
 {
-    const double half_life = health->avoided ? AVOIDED_HALF_LIFE_MS : USED_HALF_LIFE_MS;
+    const double half_life = health->avoided ? AVOIDED_HALF_LIFE_MS : ACTIVE_HALF_LIFE_MS;
     return health->failure_rate * exp2(-age_ms(health, now_ms) / half_life);
 }
 
@@ -54,36 +54,36 @@
     const double weight = weight_at(health, now_ms);
     health->weight = weight + count;
     health->failure_rate = (rate * weight + bad) / health->weight;
-    health->at_ms = now_ms;
+    health->updated_ms = now_ms;
     health->avoided = health->failure_rate > AVOID_RATE ||
-                      (health->avoided && health->failure_rate > FORGIVE_RATE);
+                      (health->avoided && health->failure_rate > RECOVER_RATE);
 }
 
 void
 health_record(health_t *health, bool failed, uint64_t now_ms)
 {
-    health->unsent_good += !failed;
-    health->unsent_bad += failed;
+    health->unsent_successes += !failed;
+    health->unsent_failures += failed;
     health_add_report(health, !failed, failed, now_ms);
 }
 
 bool
 health_has_unsent(const health_t *health, uint64_t now_ms)
 {
-    if (health->unsent_bad > 0)
+    if (health->unsent_failures > 0)
         return true;
-    return health->unsent_good > 0 && rate_at(health, now_ms) > SUSPECT_RATE;
+    return health->unsent_successes > 0 && rate_at(health, now_ms) > SUSPECT_RATE;
 }
 
 void
 health_mark_sent(health_t *health)
 {
-    health->unsent_good = 0;
-    health->unsent_bad = 0;
+    health->unsent_successes = 0;
+    health->unsent_failures = 0;
 }
 
 bool
 health_is_avoided(const health_t *health, uint64_t now_ms)
 {
-    return health->avoided && rate_at(health, now_ms) > FORGIVE_RATE;
+    return health->avoided && rate_at(health, now_ms) > RECOVER_RATE;
 }
--- a/gateway/policy/health.h
+++ b/gateway/policy/health.h
@@ -20,12 +20,12 @@
 #include <stdint.h>
 
 typedef struct {
-    double failure_rate;  /* moving average over attempts, decaying with time */
-    double weight;        /* number of outcomes that the average stands for */
-    uint64_t at_ms;       /* when both were last brought up to date */
-    bool avoided;         /* as of at_ms; use health_is_avoided() */
-    uint32_t unsent_good; /* own outcomes that were not sent to the other instances yet */
-    uint32_t unsent_bad;
+    double failure_rate;       /* moving average over attempts, decaying with time */
+    double weight;             /* number of outcomes that the average stands for */
+    uint64_t updated_ms;       /* when both were last brought up to date */
+    bool avoided;              /* as of updated_ms; use health_is_avoided() */
+    uint32_t unsent_successes; /* own outcomes that were not sent to the other instances yet */
+    uint32_t unsent_failures;
 } health_t;
 
 /* Records the outcome of one of this instance's attempts. */
--- a/gateway/policy/key_check.c
+++ b/gateway/policy/key_check.c
@@ -1,7 +1,7 @@
 #include "gateway/policy/key_check.h"
 
 static key_verdict_t
-why_denied(const key_input_t *input)
+denial_verdict(const key_input_t *input)
 {
     if (input->form == KEY_NONE)
         return KEY_ABSENT;
@@ -19,7 +19,7 @@
         return KEY_KNOWN;
     if (input->open_to_all)
         return KEY_NOT_NEEDED;
-    return input->newer_known ? KEY_BEHIND : why_denied(input);
+    return input->newer_known ? KEY_CONFIGURATION_STALE : denial_verdict(input);
 }
 
 bool
@@ -32,8 +32,12 @@
 key_verdict_name(key_verdict_t verdict)
 {
     static const char *const names[] = {
-        [KEY_NOT_NEEDED] = "not_needed", [KEY_KNOWN] = "known",       [KEY_BEHIND] = "behind",
-        [KEY_ABSENT] = "absent",         [KEY_AMBIGUOUS] = "several", [KEY_EMPTY] = "empty",
+        [KEY_NOT_NEEDED] = "not_needed",
+        [KEY_KNOWN] = "known",
+        [KEY_CONFIGURATION_STALE] = "behind",
+        [KEY_ABSENT] = "absent",
+        [KEY_AMBIGUOUS] = "several",
+        [KEY_EMPTY] = "empty",
         [KEY_UNKNOWN] = "unknown",
     };
     return names[verdict];
--- a/gateway/policy/key_check.h
+++ b/gateway/policy/key_check.h
@@ -25,11 +25,11 @@
 #include "gateway/ports.h"
 
 typedef enum {
-    KEY_NOT_NEEDED, /* nobody's, and served all the same */
-    KEY_KNOWN,      /* the account's */
-    KEY_BEHIND,     /* not known here; a newer configuration may know it */
-    KEY_ABSENT,     /* denied, like the next three */
-    KEY_AMBIGUOUS,  /* several keys */
+    KEY_NOT_NEEDED,          /* nobody's, and served all the same */
+    KEY_KNOWN,               /* the account's */
+    KEY_CONFIGURATION_STALE, /* not known here; a newer configuration may know it */
+    KEY_ABSENT,              /* denied, like the next three */
+    KEY_AMBIGUOUS,           /* several keys */
     KEY_EMPTY,
     KEY_UNKNOWN,
 } key_verdict_t;
--- a/gateway/policy/quarantine.c
+++ b/gateway/policy/quarantine.c
@@ -1,13 +1,14 @@
 #include "gateway/policy/quarantine.h"
 
 enum {
-    ENDS_HELD = 2, /* from this many on: one is what any request may share by chance */
+    QUARANTINE_ENDS = 2, /* from this many on: one is what any request may share by chance */
     MS_PER_S = 1000,
 };
 
-/* By number of ends, from ENDS_HELD on; the last holds for all above. Within the first, backend
- * servers that a wave of ends has taken come back (2 to 4 s on the users' sites). A request that
- * goes on coming three times a second ends six in 11 minutes, then one a day (worked out). Chosen.
+/* By number of ends, from QUARANTINE_ENDS on; the last holds for all above. Within the first,
+ * backend servers that a wave of ends has taken come back (2 to 4 s on the users' sites). A request
+ * that goes on coming three times a second ends six in 11 minutes, then one a day (worked out).
+ * Chosen.
  */
 static const uint32_t terms_s[] = {3, 30, 120, 480, 86400};
 
@@ -15,9 +16,9 @@
 quarantine_term_ms(unsigned ends)
 {
     const size_t most = sizeof(terms_s) / sizeof(terms_s[0]) - 1;
-    if (ends < ENDS_HELD)
+    if (ends < QUARANTINE_ENDS)
         return 0;
-    const size_t index = ends - ENDS_HELD;
+    const size_t index = ends - QUARANTINE_ENDS;
     return (uint64_t)terms_s[index < most ? index : most] * MS_PER_S;
 }
 
@@ -25,7 +26,7 @@
 quarantine_decide(const quarantine_input_t *input)
 {
     const uint64_t term_ms = quarantine_term_ms(input->ends);
-    if (term_ms == 0 || input->own_ends == 0)
+    if (term_ms == 0 || input->unexplained_ends == 0)
         return (quarantine_t){.verdict = QUARANTINE_FREE};
     uint64_t held_ms = term_ms > input->since_end_ms ? term_ms - input->since_end_ms : 0;
     if (input->new_version)
@@ -60,5 +61,5 @@
 bool
 quarantine_may_resend(unsigned ends)
 {
-    return ends < ENDS_HELD;
+    return ends < QUARANTINE_ENDS;
 }
--- a/gateway/policy/quarantine.h
+++ b/gateway/policy/quarantine.h
@@ -41,11 +41,11 @@
 } quarantine_verdict_t;
 
 typedef struct {
-    unsigned ends;          /* since a run last finished */
-    unsigned own_ends;      /* of these, not explained by another request */
-    uint64_t since_end_ms;  /* since the last of them */
-    uint64_t trial_left_ms; /* of a trial under way, 0: none is */
-    bool new_version;       /* it would go to a software version under which none has ended */
+    unsigned ends;             /* since a run last finished */
+    unsigned unexplained_ends; /* of these, not explained by another request */
+    uint64_t since_end_ms;     /* since the last of them */
+    uint64_t trial_left_ms;    /* of a trial under way, 0: none is */
+    bool new_version;          /* it would go to a software version under which none has ended */
 } quarantine_input_t;
 
 typedef struct {
--- a/gateway/policy/named_limit.c
+++ b/gateway/policy/rate_limit.c
@@ -1,27 +1,27 @@
-#include "gateway/policy/named_limit.h"
+#include "gateway/policy/rate_limit.h"
 
 #define RATE_SHARE 0.95
-#define BURST_LEAST 2.0
+#define BURST_BASE 2.0
 #define BURST_S 0.1
 /* A bucket below one token would never give any. */
 #define BURST_MIN 1.0
-#define LOOK_PER_S 0.1
+#define PROBE_PER_S 0.1
 #define MS_PER_S 1000.0
 
 permit_rate_t
-named_limit_permits(double limit_per_s, size_t heard, size_t known)
+rate_limit_permits(double limit_per_s, size_t heard, size_t known)
 {
     const double part = 2 * heard > known ? 1 : (double)heard / (double)known;
     const double rate = RATE_SHARE * limit_per_s;
-    const double burst = part * (BURST_LEAST + BURST_S * limit_per_s);
+    const double burst = part * (BURST_BASE + BURST_S * limit_per_s);
     return (permit_rate_t){
-        .per_s = part * (rate > LOOK_PER_S ? rate : LOOK_PER_S),
+        .per_s = part * (rate > PROBE_PER_S ? rate : PROBE_PER_S),
         .burst = burst > BURST_MIN ? burst : BURST_MIN,
     };
 }
 
 double
-named_limit_room(double limit_per_s, double slots, double answer_ms)
+rate_limit_usable_slots(double limit_per_s, double slots, double answer_ms)
 {
     const double busy = limit_per_s * answer_ms / MS_PER_S;
     return answer_ms > 0 && busy < slots ? busy : slots;
--- a/gateway/policy/named_limit.h
+++ b/gateway/policy/rate_limit.h
@@ -30,7 +30,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-enum { PERMIT_LIFE_MS = 250 }; /* from when it is asked for; above two ways between regions */
+enum { PERMIT_LIFETIME_MS = 250 }; /* from when it is asked for; above two ways between regions */
 
 /* What an owner gives out. */
 typedef struct {
@@ -39,8 +39,8 @@
 } permit_rate_t;
 
 /* `heard` and `known` instances of the owner's region, itself among them. */
-permit_rate_t named_limit_permits(double limit_per_s, size_t heard, size_t known);
+permit_rate_t rate_limit_permits(double limit_per_s, size_t heard, size_t known);
 
 /* The slots for which the backend server counts; `answer_ms`: usual time of its service's answers,
  * 0 if not known. */
-double named_limit_room(double limit_per_s, double slots, double answer_ms);
+double rate_limit_usable_slots(double limit_per_s, double slots, double answer_ms);
--- a/gateway/policy/region_plan.c
+++ b/gateway/policy/region_plan.c
@@ -13,14 +13,14 @@
 /* Use of all slots assumed before any demand was measured, spread evenly over the regions: high,
  * since backends that have no object in memory yet work on each request for longer. Chosen, not
  * measured. */
-#define FIRST_USE 0.7
+#define INITIAL_USE 0.7
 /* The most of the shares that moves in a second: away from home, back home, and after slots were
  * lost. The first two are below the platform's bound on shifts (0.15 in 2 s). The last is above it:
  * we take it that a sudden loss is exempt (docs/design/gateway/overview.md, questions to the
  * users). Measured with the plan as a whole (commit c2341eb). */
-#define AWAY_PER_S 0.03
-#define BACK_PER_S 0.004
-#define LOST_PER_S 0.25
+#define OUTBOUND_PER_S 0.03
+#define RETURN_PER_S 0.004
+#define REBALANCE_PER_S 0.25
 /* Distance from the target below which nothing moves: a moved object is cold where it goes. Chosen,
  * not measured. */
 #define DEAD_BAND 0.08
@@ -30,7 +30,7 @@
 /* Loss of a region's slots, as a share, that counts as sudden, and the time in milliseconds for
  * which the shares then move fast. Chosen, not measured. */
 #define SUDDEN_LOSS 0.15
-enum { LOST_MS = 4000 };
+enum { REBALANCE_MS = 4000 };
 #define MS_PER_S 1000.0
 
 static double
@@ -48,20 +48,20 @@
               double *target)
 {
     double demand[TOPOLOGY_REGIONS_MAX];
-    const double all_room = sum(input->room, count);
+    const double total_slots = sum(input->slots, count);
     memset(target, 0, sizeof(double) * TOPOLOGY_REGIONS_MAX);
     for (size_t i = 0; i < count; i++)
-        demand[i] = peak != NULL ? peak[i] : FIRST_USE * all_room / (double)count;
+        demand[i] = peak != NULL ? peak[i] : INITIAL_USE * total_slots / (double)count;
 
     /* If all regions together are over the target, all of them are over it alike. */
-    const double use = all_room > 0 ? fmax(TARGET_USE, sum(demand, count) / all_room) : 0;
-    const double bearable = use * input->room[own];
-    const double local = demand[own] > bearable ? bearable / demand[own] : 1;
+    const double use = total_slots > 0 ? fmax(TARGET_USE, sum(demand, count) / total_slots) : 0;
+    const double own_limit = use * input->slots[own];
+    const double local = demand[own] > own_limit ? own_limit / demand[own] : 1;
     double spare[TOPOLOGY_REGIONS_MAX] = {0};
     for (size_t i = 0; i < count; i++) {
-        const double free_room = use * input->room[i] - demand[i];
-        if (i != own && free_room > 0)
-            spare[i] = free_room;
+        const double free_slots = use * input->slots[i] - demand[i];
+        if (i != own && free_slots > 0)
+            spare[i] = free_slots;
     }
     const double all_spare = sum(spare, count);
     for (size_t i = 0; i < count; i++)
@@ -71,19 +71,19 @@
 
 /* Detects a sudden loss of slots in any region. */
 static void
-watch_room(region_plan_t *plan, const region_plan_input_t *input, size_t region_count,
-           uint64_t now_ms)
+detect_slot_loss(region_plan_t *plan, const region_plan_input_t *input, size_t region_count,
+                 uint64_t now_ms)
 {
     for (size_t i = 0; i < region_count; i++) {
-        if (input->room[i] < (1 - SUDDEN_LOSS) * plan->room[i])
-            plan->lost_until_ms = now_ms + LOST_MS;
-        plan->room[i] = input->room[i];
+        if (input->slots[i] < (1 - SUDDEN_LOSS) * plan->slots[i])
+            plan->rebalance_until_ms = now_ms + REBALANCE_MS;
+        plan->slots[i] = input->slots[i];
     }
 }
 
 /* Keeps the highest demand of each region, decaying slowly. */
 static void
-follow_peak(region_plan_t *plan, const region_plan_input_t *input, size_t region_count,
+update_peak(region_plan_t *plan, const region_plan_input_t *input, size_t region_count,
             uint64_t now_ms)
 {
     const double keep = exp(-(double)(now_ms - plan->updated_ms) / PEAK_DECAY_MS);
@@ -95,14 +95,15 @@
 /* Before any demand was seen the shares follow the room at once, since backends become known one by
  * one. */
 static void
-start(region_plan_t *plan, const region_plan_input_t *input, size_t region_count, uint64_t now_ms)
+initialize_shares(region_plan_t *plan, const region_plan_input_t *input, size_t region_count,
+                  uint64_t now_ms)
 {
-    const double room = sum(input->room, region_count);
-    if (room <= 0)
+    const double slots = sum(input->slots, region_count);
+    if (slots <= 0)
         return;
     target_shares(input, NULL, region_count, plan->own, plan->share);
     for (size_t i = 0; i < region_count; i++)
-        plan->peak[i] = FIRST_USE * room / (double)region_count;
+        plan->peak[i] = INITIAL_USE * slots / (double)region_count;
     plan->started = true;
     plan->updated_ms = now_ms;
 }
@@ -114,17 +115,17 @@
     double distance = 0;
     for (size_t i = 0; i < plan->region_count; i++)
         distance += fabs(target[i] - plan->share[i]) / 2;
-    const bool lost = now_ms < plan->lost_until_ms;
-    const bool homewards = target[plan->own] > plan->share[plan->own];
-    const double usual_per_s = homewards ? BACK_PER_S : AWAY_PER_S;
-    const double per_s = lost ? LOST_PER_S : usual_per_s;
+    const bool lost = now_ms < plan->rebalance_until_ms;
+    const bool returning = target[plan->own] > plan->share[plan->own];
+    const double usual_per_s = returning ? RETURN_PER_S : OUTBOUND_PER_S;
+    const double per_s = lost ? REBALANCE_PER_S : usual_per_s;
     const double step = per_s * (double)(now_ms - plan->updated_ms) / MS_PER_S;
     plan->updated_ms = now_ms;
-    if (distance <= (plan->moving || lost ? 0 : DEAD_BAND)) {
-        plan->moving = false;
+    if (distance <= (plan->converging || lost ? 0 : DEAD_BAND)) {
+        plan->converging = false;
         return;
     }
-    plan->moving = distance > step;
+    plan->converging = distance > step;
     const double part = distance > step ? step / distance : 1;
     for (size_t i = 0; i < plan->region_count; i++)
         plan->share[i] += part * (target[i] - plan->share[i]);
@@ -139,14 +140,14 @@
         return;
     plan->own = own;
     plan->region_count = region_count;
-    watch_room(plan, input, region_count, now_ms);
-    plan->used |= sum(input->demand, region_count) > 0;
-    if (!plan->started || !plan->used) {
-        start(plan, input, region_count, now_ms);
+    detect_slot_loss(plan, input, region_count, now_ms);
+    plan->demand_seen |= sum(input->demand, region_count) > 0;
+    if (!plan->started || !plan->demand_seen) {
+        initialize_shares(plan, input, region_count, now_ms);
         return;
     }
     target_shares(input, plan->peak, region_count, own, target);
-    follow_peak(plan, input, region_count, now_ms);
+    update_peak(plan, input, region_count, now_ms);
     move_shares(plan, target, now_ms);
 }
 
@@ -178,6 +179,6 @@
 double
 region_plan_use(const region_plan_t *plan)
 {
-    const double room = sum(plan->room, plan->region_count);
-    return room > 0 ? plan->measured_peak / room : 0;
+    const double slots = sum(plan->slots, plan->region_count);
+    return slots > 0 ? plan->measured_peak / slots : 0;
 }
--- a/gateway/policy/region_plan.h
+++ b/gateway/policy/region_plan.h
@@ -23,7 +23,7 @@
 #include "gateway/membership/topology.h"
 
 typedef struct {
-    double room[TOPOLOGY_REGIONS_MAX];   /* slots of usable backends */
+    double slots[TOPOLOGY_REGIONS_MAX];  /* slots of usable backends */
     double demand[TOPOLOGY_REGIONS_MAX]; /* slots that the region's callers keep busy */
 } region_plan_input_t;
 
@@ -32,14 +32,14 @@
     size_t region_count;
     size_t own; /* index of the own region */
     uint64_t updated_ms;
-    bool started;                      /* shares were set once */
-    bool used;                         /* demand was seen: from then on shares move in steps */
-    bool moving;                       /* the shares are on their way to the target */
-    double room[TOPOLOGY_REGIONS_MAX]; /* at the last update */
-    double peak[TOPOLOGY_REGIONS_MAX]; /* highest demand in slots, decaying slowly */
-    double measured_peak;   /* of all regions together, without what was assumed at first */
-    double logged;          /* own share when it was last logged by its owner */
-    uint64_t lost_until_ms; /* slots were lost shortly before */
+    bool started;                       /* shares were set once */
+    bool demand_seen;                   /* demand was seen: from then on shares move in steps */
+    bool converging;                    /* the shares are on their way to the target */
+    double slots[TOPOLOGY_REGIONS_MAX]; /* at the last update */
+    double peak[TOPOLOGY_REGIONS_MAX];  /* highest demand in slots, decaying slowly */
+    double measured_peak;        /* of all regions together, without what was assumed at first */
+    double logged_share;         /* own share when it was last logged by its owner */
+    uint64_t rebalance_until_ms; /* slots were lost shortly before */
 } region_plan_t;
 
 void region_plan_update(region_plan_t *plan, const region_plan_input_t *input, size_t region_count,
--- a/gateway/policy/relay.c
+++ b/gateway/policy/relay.c
@@ -9,7 +9,7 @@
     /* Bytes a second that changes of one view may take, and answers, on the smallest link of the
      * users' sites: a fifth of its 10 Mbit/s. Chosen. */
     BYTES_PER_S = 250000,
-    LINK_PART = 5, /* the same part of a larger link */
+    LINK_DIVISOR = 5, /* the same part of a larger link */
     /* Bytes of answers at once: a whole view is up to 200 kB (state/view_relay.c). Chosen. */
     ANSWERS_BURST = 256000,
     MS_PER_S = 1000,
@@ -18,7 +18,7 @@
     PAUSE_MAX_MS = 1000,
     /* An instance that stays behind for this time after the senders' pause asks: changes on their
      * way have arrived by then. Brought in with commit 2b9bd2c, not measured alone. */
-    BEHIND_MS = 450,
+    PULL_DELAY_MS = 450,
 };
 
 bool
@@ -34,15 +34,15 @@
         return false;
     if (relay_is_small(input->bytes))
         return input->from_store;
-    const bool at_the_top = rank <= CHILDREN;
+    const bool is_root_child = rank <= CHILDREN;
     const bool is_child = rank > 0 && (rank - 1) / CHILDREN == input->own;
-    return is_child || (input->from_store && at_the_top);
+    return is_child || (input->from_store && is_root_child);
 }
 
 static double
 bytes_per_s(double link_bytes_per_s)
 {
-    const double part = link_bytes_per_s / LINK_PART;
+    const double part = link_bytes_per_s / LINK_DIVISOR;
     return part > BYTES_PER_S ? part : BYTES_PER_S;
 }
 
@@ -54,35 +54,35 @@
 }
 
 double
-relay_answers_per_s(double link_bytes_per_s)
+relay_response_rate(double link_bytes_per_s)
 {
     return bytes_per_s(link_bytes_per_s);
 }
 
 double
-relay_answers_burst(double link_bytes_per_s)
+relay_response_burst(double link_bytes_per_s)
 {
     return ANSWERS_BURST * bytes_per_s(link_bytes_per_s) / BYTES_PER_S;
 }
 
 void
-relay_lag_notice(relay_lag_t *lag, uint64_t at, uint64_t now_ms)
+relay_lag_detected(relay_lag_t *lag, uint64_t at, uint64_t now_ms)
 {
-    if (lag->lacks != 0)
+    if (lag->missing_revision != 0)
         return;
-    lag->lacks = at;
+    lag->missing_revision = at;
     lag->since_ms = now_ms;
 }
 
 void
 relay_lag_reached(relay_lag_t *lag, uint64_t at)
 {
-    if (at >= lag->lacks)
-        lag->lacks = 0;
+    if (at >= lag->missing_revision)
+        lag->missing_revision = 0;
 }
 
 void
-relay_lag_change(relay_lag_t *lag, size_t bytes, uint64_t now_ms)
+relay_lag_change_received(relay_lag_t *lag, size_t bytes, uint64_t now_ms)
 {
     if (relay_is_small(bytes))
         return;
@@ -92,13 +92,13 @@
 }
 
 bool
-relay_lag_asks(const relay_lag_t *lag, uint64_t at, uint64_t now_ms)
+relay_lag_should_pull(const relay_lag_t *lag, uint64_t at, uint64_t now_ms)
 {
-    if (lag->lacks == 0 || at < lag->lacks)
+    if (lag->missing_revision == 0 || at < lag->missing_revision)
         return false;
     const uint64_t latest_ms = lag->since_ms + PAUSE_MAX_MS;
     uint64_t from_ms = lag->since_ms;
     if (lag->expected_ms > from_ms)
         from_ms = lag->expected_ms < latest_ms ? lag->expected_ms : latest_ms;
-    return now_ms >= from_ms + BEHIND_MS;
+    return now_ms >= from_ms + PULL_DELAY_MS;
 }
--- a/gateway/policy/relay.h
+++ b/gateway/policy/relay.h
@@ -43,22 +43,23 @@
 uint64_t relay_pause_ms(size_t sent, double link_bytes_per_s);
 /* Bytes a second, and in a burst, that answers to peers' requests for views may take on such a
  * link. */
-double relay_answers_per_s(double link_bytes_per_s);
-double relay_answers_burst(double link_bytes_per_s);
+double relay_response_rate(double link_bytes_per_s);
+double relay_response_burst(double link_bytes_per_s);
 
 /* What an instance knows of being behind with one view. */
 typedef struct {
-    uint64_t lacks;       /* revision that a peer had when it was first noticed, 0: not behind */
+    uint64_t
+        missing_revision; /* revision that a peer had when it was first noticed, 0: not behind */
     uint64_t since_ms;    /* loop time at which it was noticed */
     uint64_t expected_ms; /* loop time up to which the senders' pause may last */
 } relay_lag_t;
 
 /* A peer holds a newer view, as of revision `at`. */
-void relay_lag_notice(relay_lag_t *lag, uint64_t at, uint64_t now_ms);
+void relay_lag_detected(relay_lag_t *lag, uint64_t at, uint64_t now_ms);
 /* The own view is complete up to `at` now. */
 void relay_lag_reached(relay_lag_t *lag, uint64_t at);
 /* A peer sent a change of that many bytes, packed as it came: the next one may come after a pause.
  */
-void relay_lag_change(relay_lag_t *lag, size_t bytes, uint64_t now_ms);
+void relay_lag_change_received(relay_lag_t *lag, size_t bytes, uint64_t now_ms);
 /* True if it is time to ask a peer that holds the view as of revision `at`. */
-bool relay_lag_asks(const relay_lag_t *lag, uint64_t at, uint64_t now_ms);
+bool relay_lag_should_pull(const relay_lag_t *lag, uint64_t at, uint64_t now_ms);
--- a/gateway/policy/removal.c
+++ b/gateway/policy/removal.c
@@ -9,7 +9,7 @@
     MASS_LOSS_GRACE_MS = 1400,
     /* How long after a failure of the store many removals are put down to it: the next call comes
      * within 1.2 s. Chosen, not measured. */
-    TROUBLE_REMEMBERED_MS = 2200,
+    FAILURE_MEMORY_MS = 2200,
 };
 
 removal_t
@@ -17,7 +17,7 @@
 {
     if (input->store.since_return_ms < OUTAGE_GRACE_MS)
         return (removal_t){OUTAGE_GRACE_MS - input->store.since_return_ms, REMOVAL_AFTER_OUTAGE};
-    if (input->store.since_failure_ms < TROUBLE_REMEMBERED_MS && input->listed < input->known / 2)
+    if (input->store.since_failure_ms < FAILURE_MEMORY_MS && input->listed < input->known / 2)
         return (removal_t){MASS_LOSS_GRACE_MS, REMOVAL_MASS_LOSS};
     return (removal_t){0, REMOVAL_AT_ONCE};
 }
--- a/gateway/policy/retry.c
+++ b/gateway/policy/retry.c
@@ -10,19 +10,19 @@
 };
 
 retry_verdict_t
-retry_decide(const retry_input_t *input, const retry_account_t *account)
+retry_decide(const retry_input_t *input, const retry_context_t *context)
 {
     if (input->may_have_run && !input->repeatable)
         return RETRY_MAY_HAVE_RUN;
-    if (input->held)
-        return RETRY_HELD;
+    if (input->quarantined)
+        return RETRY_QUARANTINED;
     if (input->backends_tried >= RETRY_BACKENDS_MAX || input->sends >= input->sends_max)
-        return RETRY_USED_UP;
+        return RETRY_ATTEMPTS_EXHAUSTED;
     if (input->left_ms < LEFT_MIN_MS)
         return RETRY_NO_TIME;
     if (input->sends == 0)
-        return input->backends_tried < UNSENT_BACKENDS_MAX ? RETRY_YES : RETRY_USED_UP;
-    const bool taken = retry_budget_take(account->budget, &account->terms, account->now_ms);
+        return input->backends_tried < UNSENT_BACKENDS_MAX ? RETRY_YES : RETRY_ATTEMPTS_EXHAUSTED;
+    const bool taken = retry_budget_take(context->budget, &context->terms, context->now_ms);
     return taken ? RETRY_YES : RETRY_OVER_BUDGET;
 }
 
@@ -40,7 +40,7 @@
 }
 
 retry_verdict_t
-retry_decide_overdue(const retry_overdue_t *input, const retry_account_t *account)
+retry_decide_overdue(const retry_overdue_t *input, const retry_context_t *context)
 {
     if (!input->request.repeatable)
         return RETRY_MAY_HAVE_RUN;
@@ -51,21 +51,17 @@
     retry_input_t request = input->request;
     request.sends += input->sent;
     request.may_have_run |= input->sent;
-    return retry_decide(&request, account);
+    return retry_decide(&request, context);
 }
 
 const char *
 retry_verdict_name(retry_verdict_t verdict)
 {
     static const char *const names[RETRY_VERDICT_COUNT] = {
-        [RETRY_NOT_ASKED] = "none",
-        [RETRY_YES] = "yes",
-        [RETRY_MAY_HAVE_RUN] = "may_have_run",
-        [RETRY_USED_UP] = "used_up",
-        [RETRY_NO_TIME] = "no_time",
-        [RETRY_OVER_BUDGET] = "over_budget",
-        [RETRY_HELD] = "held",
-        [RETRY_NOT_AVOIDED] = "not_avoided",
+        [RETRY_NOT_EVALUATED] = "none",        [RETRY_YES] = "yes",
+        [RETRY_MAY_HAVE_RUN] = "may_have_run", [RETRY_ATTEMPTS_EXHAUSTED] = "used_up",
+        [RETRY_NO_TIME] = "no_time",           [RETRY_OVER_BUDGET] = "over_budget",
+        [RETRY_QUARANTINED] = "held",          [RETRY_NOT_AVOIDED] = "not_avoided",
     };
     return names[verdict];
 }
--- a/gateway/policy/retry.h
+++ b/gateway/policy/retry.h
@@ -31,21 +31,21 @@
 enum { RETRY_BACKENDS_MAX = 6 }; /* tried for one request; bounds the exchange's list of them */
 
 typedef enum {
-    RETRY_NOT_ASKED, /* no attempt has failed yet */
+    RETRY_NOT_EVALUATED, /* no attempt has failed yet */
     RETRY_YES,
-    RETRY_MAY_HAVE_RUN,  /* and the request must not run twice */
-    RETRY_USED_UP,       /* as many backends or sends as allowed */
-    RETRY_NO_TIME,       /* too close to the deadline */
-    RETRY_OVER_BUDGET,   /* the service's retry budget is spent */
-    RETRY_HELD,          /* too many backends have ended under it (quarantine.h) */
-    RETRY_NOT_AVOIDED,   /* overdue, but its backend is not known to be bad */
-    RETRY_VERDICT_COUNT, /* not a verdict */
+    RETRY_MAY_HAVE_RUN,       /* and the request must not run twice */
+    RETRY_ATTEMPTS_EXHAUSTED, /* as many backends or sends as allowed */
+    RETRY_NO_TIME,            /* too close to the deadline */
+    RETRY_OVER_BUDGET,        /* the service's retry budget is spent */
+    RETRY_QUARANTINED,        /* too many backends have ended under it (quarantine.h) */
+    RETRY_NOT_AVOIDED,        /* overdue, but its backend is not known to be bad */
+    RETRY_VERDICT_COUNT,      /* not a verdict */
 } retry_verdict_t;
 
 typedef struct {
     bool repeatable;       /* the request may run more than once */
     bool may_have_run;     /* an attempt ended without certainty */
-    bool held;             /* quarantine_may_resend() says no */
+    bool quarantined;      /* quarantine_may_resend() says no */
     size_t backends_tried; /* including attempts of which nothing was sent */
     uint32_t sends;        /* attempts of which bytes may have gone out */
     uint32_t sends_max;    /* of the route */
@@ -56,10 +56,10 @@
     retry_budget_t *budget; /* of the service */
     retry_terms_t terms;
     uint64_t now_ms;
-} retry_account_t;
+} retry_context_t;
 
 /* The last attempt has ended without an answer to pass on. */
-retry_verdict_t retry_decide(const retry_input_t *input, const retry_account_t *account);
+retry_verdict_t retry_decide(const retry_input_t *input, const retry_context_t *context);
 
 /* Time until the next attempt; `closed`: the backend closed or reset the last one's connection. */
 uint32_t retry_after_ms(bool closed);
@@ -75,7 +75,7 @@
 } retry_overdue_t;
 
 /* An attempt takes far longer than usual (slow.h) and nothing of an answer has come. */
-retry_verdict_t retry_decide_overdue(const retry_overdue_t *input, const retry_account_t *account);
+retry_verdict_t retry_decide_overdue(const retry_overdue_t *input, const retry_context_t *context);
 
 /* For the log. */
 const char *retry_verdict_name(retry_verdict_t verdict);
--- a/gateway/policy/shutdown.c
+++ b/gateway/policy/shutdown.c
@@ -5,12 +5,12 @@
     ACCEPT_MS = 2000,
     /* Callers wait for a new connection to come up for a second (the users' protocol): one that was
      * made just before the port closes may still carry its first request. */
-    REST_MAX_MS = 1000,
+    IDLE_MAX_MS = 1000,
     /* From then on no connection rests: a request that is sent later than 3 s after the request to
      * stop may still run when the process has to end (the platform's figure), less a tick. */
-    REST_END_MS = 2900,
+    IDLE_END_MS = 2900,
     /* Two ticks of the instance (0.2 s each) longer. Chosen, not measured. */
-    STAY_MIN_MS = 2400,
+    LIFETIME_MIN_MS = 2400,
     /* Left for the process to end by itself. Chosen, not measured. */
     BEFORE_KILL_MS = 600,
 };
@@ -22,16 +22,16 @@
 }
 
 uint64_t
-shutdown_rest_max_ms(uint64_t age_ms)
+shutdown_idle_max_ms(uint64_t age_ms)
 {
-    return age_ms < REST_END_MS ? REST_MAX_MS : 0;
+    return age_ms < IDLE_END_MS ? IDLE_MAX_MS : 0;
 }
 
 bool
 shutdown_is_due(const shutdown_input_t *input)
 {
     const bool idle = input->requests == 0 && input->connections == 0 && !input->accepting;
-    if (idle && input->age_ms >= STAY_MIN_MS)
+    if (idle && input->age_ms >= LIFETIME_MIN_MS)
         return true;
     return input->age_ms + BEFORE_KILL_MS >= input->grace_ms;
 }
--- a/gateway/policy/shutdown.h
+++ b/gateway/policy/shutdown.h
@@ -30,6 +30,6 @@
 /* True once no new connections are accepted and idle ones are closed. */
 bool shutdown_refuses_connections(uint64_t age_ms);
 /* How long connections may rest from then on, in milliseconds. */
-uint64_t shutdown_rest_max_ms(uint64_t age_ms);
+uint64_t shutdown_idle_max_ms(uint64_t age_ms);
 /* True once the process should end. */
 bool shutdown_is_due(const shutdown_input_t *input);
--- a/gateway/policy/slow.c
+++ b/gateway/policy/slow.c
@@ -3,15 +3,15 @@
 /* Times a route's median; above the 3.3 of a run without the object in memory (commit 28ac3e3). */
 #define SLOW_MEDIANS 3.9
 /* Times a route's latency objective, before any answer of it was seen. Chosen, not measured. */
-#define SLOW_AIMS_UNKNOWN 5
+#define SLOW_OBJECTIVES 5
 
 uint32_t
-slow_after_ms(uint32_t aim_ms, double median_ms)
+slow_after_ms(uint32_t objective_ms, double median_ms)
 {
     const double slow_ms = SLOW_MEDIANS * median_ms;
     if (median_ms == 0)
-        return SLOW_AIMS_UNKNOWN * aim_ms;
-    return slow_ms > aim_ms ? (uint32_t)slow_ms : aim_ms;
+        return SLOW_OBJECTIVES * objective_ms;
+    return slow_ms > objective_ms ? (uint32_t)slow_ms : objective_ms;
 }
 
 bool
--- a/gateway/policy/slow.h
+++ b/gateway/policy/slow.h
@@ -20,7 +20,7 @@
 
 /* Time in milliseconds after which an attempt is overdue; 0 if the route has neither an objective
  * nor an answer yet. `median_ms` is 0 before the first answer. */
-uint32_t slow_after_ms(uint32_t aim_ms, double median_ms);
+uint32_t slow_after_ms(uint32_t objective_ms, double median_ms);
 
 typedef struct {
     uint32_t slow_ms;    /* from slow_after_ms() */
--- a/gateway/policy/store_turns.h
+++ b/gateway/policy/store_schedule.h
@@ -27,15 +27,15 @@
 #include <stdint.h>
 
 /* True if an instance of that rank among those that the store serves watches it. */
-bool store_turns_watches(size_t rank);
+bool store_schedule_watches(size_t rank);
 /* Milliseconds that a started instance waits for its peers. `key`: a hash of its name; `is_seed`:
  * started instances ask it first. */
-uint64_t store_turns_start_ms(uint64_t key, bool is_seed);
+uint64_t store_schedule_startup_delay_ms(uint64_t key, bool is_seed);
 /* True if an instance of that rank among all of its region calls the store where no watcher has
  * been heard of for so long. */
-bool store_turns_takes_over(size_t rank, uint64_t unwatched_ms);
+bool store_schedule_takes_over(size_t rank, uint64_t unwatched_ms);
 /* Milliseconds between two looks of such an instance at a store that fails it, in a region of so
  * many. */
-uint64_t store_turns_look_ms(size_t rank, size_t instances);
+uint64_t store_schedule_probe_interval_ms(size_t rank, size_t instances);
 /* Milliseconds after a watch that brought changes until the next one. */
-uint64_t store_turns_rest_ms(void);
+uint64_t store_schedule_watch_pause_ms(void);
--- a/gateway/policy/naming.c
+++ b/gateway/policy/subset.c
@@ -1,17 +1,17 @@
 #include <stdbool.h>
 #include <stdlib.h>
 
-#include "gateway/policy/naming.h"
+#include "gateway/policy/subset.h"
 
-/* The least instances named: one may be lost at any moment. Chosen; 2, 3 and 5 of equal instances
+/* The least instances size: one may be lost at any moment. Chosen; 2, 3 and 5 of equal instances
  * measured 0.645, 0.652, 0.641 on a grown site (round 3). */
-enum { NAMED_MIN = 2 };
+enum { SUBSET_MIN = 2 };
 /* Use of link and processor that is planned for, so that a burst of twice the traffic still fits.
  * Chosen, not measured. */
 #define USE_MAX 0.4
 /* Share of the links' sum that the named instances must be able to carry before traffic is known.
  * Chosen, not measured. */
-#define FIRST_SHARE 0.5
+#define IDLE_LINK_SHARE 0.5
 /* Processor time of a request in core seconds (docs/PERFORMANCE.md: 0.18 ms). */
 #define REQUEST_CORE_S 0.0002
 
@@ -25,8 +25,8 @@
 static int
 compare(const void *a, const void *b)
 {
-    const naming_instance_t *left = a;
-    const naming_instance_t *right = b;
+    const subset_instance_t *left = a;
+    const subset_instance_t *right = b;
     const int by_link = compare_double(right->link_bytes_per_s, left->link_bytes_per_s);
     const int by_cpu = compare_double(right->cpu_cores, left->cpu_cores);
     if (by_link != 0)
@@ -45,7 +45,7 @@
 } totals_t;
 
 static totals_t
-add_up(const naming_instance_t *instances, size_t count)
+sum_totals(const subset_instance_t *instances, size_t count)
 {
     totals_t totals = {.all_known = true};
     for (size_t i = 0; i < count; i++) {
@@ -59,25 +59,25 @@
 
 /* True if that many carry everything in equal parts. `weakest` is the last of them. */
 static bool
-suffice(const totals_t *totals, const naming_instance_t *weakest, size_t named)
+can_carry(const totals_t *totals, const subset_instance_t *weakest, size_t size)
 {
-    const double n = (double)named;
+    const double n = (double)size;
     if (totals->requests_per_s <= 0)
-        return n * weakest->link_bytes_per_s >= FIRST_SHARE * totals->link_bytes_per_s;
+        return n * weakest->link_bytes_per_s >= IDLE_LINK_SHARE * totals->link_bytes_per_s;
     return totals->bytes_per_s / n <= USE_MAX * weakest->link_bytes_per_s &&
            totals->requests_per_s / n * REQUEST_CORE_S <= USE_MAX * weakest->cpu_cores;
 }
 
 size_t
-naming_decide(naming_instance_t *instances, size_t count)
+subset_select(subset_instance_t *instances, size_t count)
 {
-    const totals_t totals = add_up(instances, count);
+    const totals_t totals = sum_totals(instances, count);
     qsort(instances, count, sizeof(instances[0]), compare);
     if (!totals.all_known)
         return count;
-    for (size_t named = NAMED_MIN; named < count; named++) {
-        if (suffice(&totals, &instances[named - 1], named))
-            return named;
+    for (size_t size = SUBSET_MIN; size < count; size++) {
+        if (can_carry(&totals, &instances[size - 1], size))
+            return size;
     }
     return count;
 }
--- a/gateway/policy/naming.h
+++ b/gateway/policy/subset.h
@@ -25,7 +25,7 @@
     double cpu_cores;        /* 0 if not known */
     double requests_per_s;   /* that it carries now */
     double bytes_per_s;      /* that they move over its link, one direction */
-} naming_instance_t;
+} subset_instance_t;
 
 /* Sorts the instances, strongest first, and returns how many of them are named. */
-size_t naming_decide(naming_instance_t *instances, size_t count);
+size_t subset_select(subset_instance_t *instances, size_t count);
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -6,7 +6,7 @@
 #include "base/log.h"
 #include "base/loop_time.h"
 #include "base/xmalloc.h"
-#include "gateway/policy/named_limit.h"
+#include "gateway/policy/rate_limit.h"
 #include "gateway/policy/slow.h"
 #include "gateway/policy/traffic_split.h"
 #include "gateway/router.h"
@@ -65,11 +65,11 @@
 {
     region_plan_t *plan = &service->plan;
     const double share = plan->share[region];
-    if (fabs(share - plan->logged) < PLAN_LOG_STEP)
+    if (fabs(share - plan->logged_share) < PLAN_LOG_STEP)
         return;
-    plan->logged = share;
+    plan->logged_share = share;
     LOG_INFO("plan: service=%s own_share=%.2f room=%.0f demand=%.1f peak=%.1f", service->name.ptr,
-             share, input->room[region], input->demand[region], plan->peak[region]);
+             share, input->slots[region], input->demand[region], plan->peak[region]);
 }
 
 static void
@@ -79,7 +79,7 @@
     const size_t count = router->topology->region_count;
     const str_t name = name_str(&service->name);
     region_plan_input_t input = {0};
-    catalog_slots_by_region(&router->catalog, name, input.room);
+    catalog_slots_by_region(&router->catalog, name, input.slots);
     for (size_t i = 0; i < count; i++)
         input.demand[i] = members_demand(members, name, i, router->region, now_ms);
     region_plan_update(&service->plan, &input, count, router->region, now_ms);
@@ -117,7 +117,8 @@
         const service_t *service =
             services_find(&router->services, name_str(&backend->info.service));
         const double answer_ms = service != NULL ? service->latency_ms : 0;
-        backend->room = named_limit_room(backend->limit.per_s, backend->info.capacity, answer_ms);
+        backend->room =
+            rate_limit_usable_slots(backend->limit.per_s, backend->info.capacity, answer_ms);
     }
 }
 
@@ -237,14 +238,14 @@
     input.account = request->account;
     input.has_object = request->has_object;
     input.suspected = request->suspected;
-    input.may_ask = request->may_ask;
+    input.may_request_permit = request->may_ask;
     input.version = request->version;
     input.tried = request->tried;
     input.tried_count = request->tried_count;
     input.request = (admission_request_t){
-        .aim_ms = route->aim_ms,
+        .objective_ms = route->aim_ms,
         .left_ms = request->left_ms,
-        .usual_ms = route_stats_median_ms(&router->routes, route->key),
+        .median_ms = route_stats_median_ms(&router->routes, route->key),
         .lost_ms = request->lost_ms,
     };
     const choice_t choice = choice_make(&input);
@@ -262,8 +263,8 @@
     choice_input_t input =
         choice_input(router, route, service, known != NULL ? &known->plan : &no_plan, object);
     input.has_object = true;
-    input.may_ask = true;
-    input.request = (admission_request_t){.aim_ms = route->aim_ms, .left_ms = UINT32_MAX};
+    input.may_request_permit = true;
+    input.request = (admission_request_t){.objective_ms = route->aim_ms, .left_ms = UINT32_MAX};
     return input;
 }
 
@@ -277,7 +278,7 @@
 void
 router_count_request(router_t *router, service_t *service)
 {
-    const retry_account_t account = router_retry_account(router, service);
+    const retry_context_t account = router_retry_account(router, service);
     retry_budget_count_request(account.budget, &account.terms, account.now_ms);
 }
 
@@ -293,13 +294,13 @@
     const uint64_t now_ms = loop_now(router->loop);
     const bool rested = backend->rest.until_ms > 0;
     if (notice->said->asks_rest) {
-        if (!rest_is_on(&backend->rest, now_ms))
+        if (!backoff_is_active(&backend->rest, now_ms))
             LOG_INFO("backend asks for rest: id=%s rest_ms=%llu", backend->info.id.ptr,
                      (unsigned long long)notice->said->rest_ms);
-        rest_ask(&backend->rest, notice->said->rest_ms, now_ms);
+        backoff_request(&backend->rest, notice->said->rest_ms, now_ms);
         return;
     }
-    rest_attempt_ended(&backend->rest, notice->sent_ms, notice->ran);
+    backoff_attempt_ended(&backend->rest, notice->sent_ms, notice->ran);
     if (rested && backend->rest.until_ms == 0)
         LOG_INFO("backend has rested: id=%s", backend->info.id.ptr);
 }
@@ -339,7 +340,7 @@
 router_attempt_finished(router_t *router, service_t *service, backend_t *backend, uint64_t sent_ms)
 {
     service_attempt_finished(service, loop_now(router->loop));
-    rest_attempt_ended(&backend->rest, sent_ms, false);
+    backoff_attempt_ended(&backend->rest, sent_ms, false);
     backend_attempt_finished(backend);
 }
 
@@ -358,10 +359,10 @@
     return slow_after_ms(route->aim_ms, median_ms);
 }
 
-retry_account_t
+retry_context_t
 router_retry_account(router_t *router, service_t *service)
 {
-    return (retry_account_t){
+    return (retry_context_t){
         .budget = &service->retries,
         .terms =
             {
--- a/gateway/router.h
+++ b/gateway/router.h
@@ -67,7 +67,7 @@
     double lost_ms;   /* that the caller has lost before, from router_count_caller() */
     uint64_t version; /* only backends of that software version; 0: any */
     bool suspected;   /* a backend server has ended under it */
-    bool may_ask;     /* it may ask for a permit (policy/pass_over.h) */
+    bool may_ask;     /* it may ask for a permit (policy/backend_skip.h) */
     backend_t *const *tried;
     size_t tried_count;
 } router_request_t;
@@ -122,4 +122,4 @@
 /* Time in milliseconds after which an attempt on this route is overdue, 0 if not known. */
 uint32_t router_slow_ms(router_t *router, const config_route_t *route);
 /* The retry budget that a request of this service draws on. */
-retry_account_t router_retry_account(router_t *router, service_t *service);
+retry_context_t router_retry_account(router_t *router, service_t *service);
--- a/gateway/state/account_uses.c
+++ b/gateway/state/account_uses.c
@@ -81,7 +81,7 @@
 bool
 account_use_in_touch(const account_use_t *use, uint64_t now_ms)
 {
-    const uint64_t patience_ms = use->gate.told ? OUT_OF_TOUCH_MS : FIRST_ANSWER_MS;
+    const uint64_t patience_ms = use->gate.has_share ? OUT_OF_TOUCH_MS : FIRST_ANSWER_MS;
     return use->waiting_ms == 0 || now_ms - use->waiting_ms <= patience_ms;
 }
 
@@ -99,21 +99,22 @@
     if (account->rate_per_s <= 0)
         return true;
     account_use_t *use = account_uses_get(uses, account, now_ms);
-    const account_gate_input_t input = {
-        .in_touch = account_use_in_touch(use, now_ms),
-        .even_share = account->rate_per_s / (uses->instances > 0 ? uses->instances : 1),
-        .room_part = use->gate.told ? use->room * use->gate.share_per_s / account->rate_per_s : 1,
-        .unseen = use->used - use->told_used,
+    const account_limiter_input_t input = {
+        .owner_reachable = account_use_in_touch(use, now_ms),
+        .equal_share_per_s = account->rate_per_s / (uses->instances > 0 ? uses->instances : 1),
+        .burst_share =
+            use->gate.has_share ? use->room * use->gate.share_per_s / account->rate_per_s : 1,
+        .unacknowledged = use->used - use->told_used,
         .now_ms = now_ms,
     };
-    const bool admitted = account_gate_admits(&use->gate, &input);
+    const bool admitted = account_limiter_admit(&use->gate, &input);
     use->under_way++;
     use->touched_ms = now_ms;
     use->asked++;
     use->used += admitted;
     use->refused += !admitted;
     if (!admitted)
-        *retry_after_ms = account_gate_retry_after_ms(&use->gate, point);
+        *retry_after_ms = account_limiter_retry_after_ms(&use->gate, point);
     make_due(uses, use);
     *out = use;
     return admitted;
@@ -130,7 +131,7 @@
 account_uses_give_back(account_uses_t *uses, account_use_t *use)
 {
     use->used--;
-    account_gate_give_back(&use->gate);
+    account_limiter_refund(&use->gate);
     make_due(uses, use);
 }
 
--- a/gateway/state/account_uses.h
+++ b/gateway/state/account_uses.h
@@ -7,19 +7,19 @@
  * request and forgotten when the account has rested; memory and messages follow the accounts in
  * use, not all of them.
  *
- * Owns the table, 224 bytes an entry (size of the struct). Relies on policy/account_gate.h for the
- * decision; time is passed in.
+ * Owns the table, 224 bytes an entry (size of the struct). Relies on policy/account_limiter.h for
+ * the decision; time is passed in.
  */
 #pragma once
 
 #include "base/str.h"
-#include "gateway/policy/account_gate.h"
+#include "gateway/policy/account_limiter.h"
 #include "gateway/state/config.h"
 
 typedef struct {
     uint64_t id; /* of the account */
     name_t name;
-    account_gate_t gate;
+    account_limiter_t gate;
     uint64_t used;          /* requests let through, less those that were never sent */
     uint64_t asked;         /* requests that came */
     uint64_t refused;       /* of these */
--- a/gateway/state/backend.h
+++ b/gateway/state/backend.h
@@ -14,7 +14,7 @@
 #include "base/bucket.h"
 #include "gateway/policy/breaker.h"
 #include "gateway/policy/health.h"
-#include "gateway/policy/rest.h"
+#include "gateway/policy/backoff.h"
 #include "gateway/state/notices.h"
 
 typedef struct wire_pool wire_pool_t;
@@ -50,7 +50,7 @@
     bool hall_closed;            /* its data hall must get no requests */
     bool departed;               /* another backend answers at its address */
     bool says_leaving;           /* it told so in an answer: that stays, whatever its entry says */
-    rest_t rest;                 /* that it asked this instance for */
+    backoff_t rest;              /* that it asked this instance for */
     backend_limit_t limit;       /* that it names in its answers */
     double room;                 /* slots for which it counts in plans; 0: for all */
     uint64_t permit_from_ms;     /* the next permit for it may be asked for */
--- a/gateway/state/permits.h
+++ b/gateway/state/permits.h
@@ -2,13 +2,13 @@
  * Permits: the token buckets of the backend servers whose limit this instance keeps as their owner.
  *
  * Owns a bucket for each life of a backend server that a permit was asked for lately. It starts
- * empty: the owner before may have given out all. Relies on policy/named_limit.h; time is passed
+ * empty: the owner before may have given out all. Relies on policy/rate_limit.h; time is passed
  * in.
  */
 #pragma once
 
 #include "base/bucket.h"
-#include "gateway/policy/named_limit.h"
+#include "gateway/policy/rate_limit.h"
 
 typedef struct {
     uint64_t life; /* from backend_life() */
--- a/gateway/state/store_watch.c
+++ b/gateway/state/store_watch.c
@@ -6,7 +6,7 @@
 #include "base/log.h"
 #include "base/loop_time.h"
 #include "base/xmalloc.h"
-#include "gateway/policy/store_turns.h"
+#include "gateway/policy/store_schedule.h"
 #include "gateway/state/store_calls.h"
 #include "gateway/state/store_watch.h"
 
@@ -80,7 +80,7 @@
 has_waited(const store_watch_t *watch, uint64_t now_ms)
 {
     const uint64_t key = str_hash(name_str(&watch->instance), KEY_SEED);
-    return now_ms - watch->started_ms >= store_turns_start_ms(key, watch->conf.is_seed);
+    return now_ms - watch->started_ms >= store_schedule_startup_delay_ms(key, watch->conf.is_seed);
 }
 
 /* True if no instance of the region watches the store, as far as is known here, and it is this
@@ -94,7 +94,7 @@
     }
     if (watch->unwatched_ms == 0)
         watch->unwatched_ms = now_ms;
-    return store_turns_takes_over(rank_of(watch, false, now_ms), now_ms - watch->unwatched_ms);
+    return store_schedule_takes_over(rank_of(watch, false, now_ms), now_ms - watch->unwatched_ms);
 }
 
 static bool
@@ -103,7 +103,7 @@
     const uint64_t now_ms = loop_now(watch->conf.loop);
     if (watch->stopped || !has_waited(watch, now_ms))
         return false;
-    if (store_turns_watches(rank_of(watch, true, now_ms)))
+    if (store_schedule_watches(rank_of(watch, true, now_ms)))
         return true;
     if (takes_over(watch, now_ms)) {
         watch->fallback_until_ms = now_ms + FALLBACK_MS;
@@ -207,7 +207,8 @@
     if (is_needed_once(kind))
         return pause_ms < RETRY_MAX_MS ? pause_ms : RETRY_MAX_MS;
     const size_t instances = members_living(watch->conf.members, watch->conf.region, now_ms);
-    const uint64_t look_ms = store_turns_look_ms(rank_of(watch, false, now_ms), instances);
+    const uint64_t look_ms =
+        store_schedule_probe_interval_ms(rank_of(watch, false, now_ms), instances);
     return store_watch_is_failing(watch) || pause_ms > look_ms ? look_ms : pause_ms;
 }
 
@@ -388,7 +389,7 @@
     }
     on_store_answered(kind);
     if (answer->item_count > 0)
-        kind->retry_at_ms = loop_now(kind->owner->conf.loop) + store_turns_rest_ms();
+        kind->retry_at_ms = loop_now(kind->owner->conf.loop) + store_schedule_watch_pause_ms();
     apply_delta(kind, answer);
 }
 
--- a/gateway/state/store_watch.h
+++ b/gateway/state/store_watch.h
@@ -4,7 +4,7 @@
  * Two instances of each region that the store serves watch it; what they learn they pass on to the
  * others (view_relay.h). An instance that hears of no watcher in its region takes over, so that no
  * instance depends on another; a started one lists what its peers have not brought
- * (policy/store_turns.h). docs/design/gateway/store-calls.md. Also tells whether the store fails
+ * (policy/store_schedule.h). docs/design/gateway/store-calls.md. Also tells whether the store fails
  * this instance, and when it came back from an outage for all of them.
  *
  * Owns the calls to the store and what is learned of its state. Relies on views.h for what it
--- a/gateway/state/suspects.c
+++ b/gateway/state/suspects.c
@@ -134,7 +134,7 @@
         return (quarantine_t){.verdict = QUARANTINE_FREE};
     const quarantine_input_t input = {
         .ends = ends,
-        .own_ends = quarantine_may_resend(ends) ? ends : own_ends(suspects, suspect),
+        .unexplained_ends = quarantine_may_resend(ends) ? ends : own_ends(suspects, suspect),
         .since_end_ms = now_ms - suspect_last_ms(suspect),
         .trial_left_ms = suspect->trial_until_ms > now_ms ? suspect->trial_until_ms - now_ms : 0,
         .new_version = version != 0 && !suspect_ended_version(suspect, version),
--- a/gateway/state/traffic.h
+++ b/gateway/state/traffic.h
@@ -2,7 +2,7 @@
  * Traffic: the requests that this instance carries, and the bytes they move over its link.
  *
  * Owns two moving averages over about 2 s. Relies on nothing; time is passed in. Heartbeats tell
- * the other instances (naming.h decides by it).
+ * the other instances (subset.h decides by it).
  */
 #pragma once
 
--- a/gateway/state/view_relay.c
+++ b/gateway/state/view_relay.c
@@ -28,8 +28,8 @@
 view_relay_init(view_relay_t *relay, const view_relay_conf_t *conf)
 {
     *relay = (view_relay_t){.conf = *conf, .started_ms = loop_now(conf->loop)};
-    bucket_init(&relay->answers, relay_answers_per_s(conf->link_bytes_per_s),
-                relay_answers_burst(conf->link_bytes_per_s), relay->started_ms);
+    bucket_init(&relay->answers, relay_response_rate(conf->link_bytes_per_s),
+                relay_response_burst(conf->link_bytes_per_s), relay->started_ms);
 }
 
 void
@@ -44,7 +44,7 @@
 static bool
 has_room(view_relay_t *relay, size_t bytes)
 {
-    const double burst = relay_answers_burst(relay->conf.link_bytes_per_s);
+    const double burst = relay_response_burst(relay->conf.link_bytes_per_s);
     const double needed = (double)bytes < burst ? (double)bytes : burst;
     return bucket_tokens(&relay->answers, loop_now(relay->conf.loop)) >= needed;
 }
@@ -227,8 +227,8 @@
     relay_lag_t *lag = &relay->kinds[kind].lag;
     if (!relay->conf.views->items[kind].known)
         return member->region == relay->conf.region || now_ms - relay->started_ms >= START_NEAR_MS;
-    relay_lag_notice(lag, at, now_ms);
-    return relay_lag_asks(lag, at, now_ms);
+    relay_lag_detected(lag, at, now_ms);
+    return relay_lag_should_pull(lag, at, now_ms);
 }
 
 void
@@ -275,9 +275,9 @@
 {
     relay_lag_t *lag = &relay->kinds[update->kind].lag;
     const uint64_t now_ms = loop_now(relay->conf.loop);
-    relay_lag_change(lag, view_update_wire_bytes(update), now_ms);
+    relay_lag_change_received(lag, view_update_wire_bytes(update), now_ms);
     if (result == VIEW_GAP)
-        relay_lag_notice(lag, update->at, now_ms);
+        relay_lag_detected(lag, update->at, now_ms);
     view_push_forward(relay->conf.push, update);
 }
 
--- a/test/gateway/account_model.c
+++ b/test/gateway/account_model.c
@@ -327,8 +327,8 @@
         use->waiting_ms = 0;
         use->unanswered_ms = 0;
     }
-    account_gate_tell(&use->gate, message->grant.limited, message->grant.share_per_s,
-                      model->now_ms);
+    account_limiter_set_share(&use->gate, message->grant.limited, message->grant.share_per_s,
+                              model->now_ms);
     use->told_owner = message->source;
     use->room = message->grant.room;
     use->region_per_s = message->grant.region_per_s;
--- a/test/gateway/limit_model.c
+++ b/test/gateway/limit_model.c
@@ -153,7 +153,7 @@
         known++;
         heard += seems_alive(model, owner, i);
     }
-    return named_limit_permits(model->conf.limit_per_s, heard, known);
+    return rate_limit_permits(model->conf.limit_per_s, heard, known);
 }
 
 static bool
@@ -190,7 +190,7 @@
     model->messages++;
     node->waits_since_ms = model->now_ms;
     post(model, model->now_ms + way_ms(index, owner), &event);
-    post(model, model->now_ms + PERMIT_LIFE_MS + 1, &unanswered);
+    post(model, model->now_ms + PERMIT_LIFETIME_MS + 1, &unanswered);
 }
 
 static void
@@ -222,7 +222,7 @@
     }
     if (node->waits_since_ms == event->asked_ms)
         node->waits_since_ms = 0;
-    if (event->given && model->now_ms - event->asked_ms <= (uint64_t)PERMIT_LIFE_MS)
+    if (event->given && model->now_ms - event->asked_ms <= (uint64_t)PERMIT_LIFETIME_MS)
         send_request(model, event->from);
     else
         refuse(model, event->from, event->wait_ms);
--- a/test/gateway/limit_model.h
+++ b/test/gateway/limit_model.h
@@ -3,7 +3,7 @@
  * loop.
  *
  * Instances, ways and troubles are modelled; who gets a permit and when is the gateway's own code
- * (policy/named_limit.h, state/permits.h, policy/cold_start.h). Beside permits run the other ways
+ * (policy/rate_limit.h, state/permits.h, policy/cold_start.h). Beside permits run the other ways
  * that were weighed.
  */
 #pragma once
--- a/test/gateway/main.c
+++ b/test/gateway/main.c
@@ -19,7 +19,7 @@
     srunner_add_suite(runner, suite_gateway_cold_start());
     srunner_add_suite(runner, suite_gateway_retry());
     srunner_add_suite(runner, suite_gateway_lives());
-    srunner_add_suite(runner, suite_gateway_store_turns());
+    srunner_add_suite(runner, suite_gateway_store_schedule());
     srunner_add_suite(runner, suite_gateway_members());
     srunner_add_suite(runner, suite_gateway_log_ring());
     srunner_add_suite(runner, suite_gateway_platform());
@@ -34,7 +34,7 @@
     srunner_add_suite(runner, suite_gateway_quarantine());
     srunner_add_suite(runner, suite_gateway_backend_limit());
     srunner_add_suite(runner, suite_gateway_backend_leaving());
-    srunner_add_suite(runner, suite_gateway_backend_rest());
+    srunner_add_suite(runner, suite_gateway_backend_backoff());
     srunner_add_suite(runner, suite_gateway_notices());
     srunner_add_suite(runner, suite_gateway_limit_model());
     srunner_add_suite(runner, suite_gateway_suspects());
--- a/test/gateway/test_accounts.c
+++ b/test/gateway/test_accounts.c
@@ -8,7 +8,7 @@
 #include "base/log.h"
 #include "base/xmalloc.h"
 #include "gateway/membership/owner.h"
-#include "gateway/policy/account_gate.h"
+#include "gateway/policy/account_limiter.h"
 #include "gateway/policy/account_share.h"
 #include "gateway/policy/key_check.h"
 #include "gateway/state/account_ledger.h"
@@ -322,7 +322,7 @@
         {{.has_accounts = true, .open_to_all = true}, KEY_NOT_NEEDED},
         {{.has_accounts = true, .open_to_all = true, .form = KEY_ONE, .is_known = true}, KEY_KNOWN},
         {{.has_accounts = true, .form = KEY_NONE}, KEY_ABSENT},
-        {{.has_accounts = true, .form = KEY_NONE, .newer_known = true}, KEY_BEHIND},
+        {{.has_accounts = true, .form = KEY_NONE, .newer_known = true}, KEY_CONFIGURATION_STALE},
         {{.has_accounts = true, .form = KEY_SEVERAL, .key = {"k", 1}}, KEY_AMBIGUOUS},
         {{.has_accounts = true, .form = KEY_ONE}, KEY_EMPTY},
         {{.has_accounts = true, .form = KEY_ONE, .key = {"k", 1}}, KEY_UNKNOWN},
@@ -334,16 +334,16 @@
 
 START_TEST(callers_refused_together_come_back_apart)
 {
-    account_gate_t gate = {0};
-    account_gate_tell(&gate, true, 2, 1000);
-    const account_gate_input_t input = {.in_touch = true, .now_ms = 1000};
-    ck_assert(!account_gate_admits(&gate, &input));
-    const uint32_t least = account_gate_retry_after_ms(&gate, 0);
-    const uint32_t most = account_gate_retry_after_ms(&gate, 0.99);
+    account_limiter_t gate = {0};
+    account_limiter_set_share(&gate, true, 2, 1000);
+    const account_limiter_input_t input = {.owner_reachable = true, .now_ms = 1000};
+    ck_assert(!account_limiter_admit(&gate, &input));
+    const uint32_t least = account_limiter_retry_after_ms(&gate, 0);
+    const uint32_t most = account_limiter_retry_after_ms(&gate, 0.99);
     ck_assert_uint_eq(least, 500); /* one token at two a second */
     ck_assert_uint_ge(most, 990);
-    const account_gate_input_t later = {.in_touch = true, .now_ms = 1000 + least};
-    ck_assert(account_gate_admits(&gate, &later));
+    const account_limiter_input_t later = {.owner_reachable = true, .now_ms = 1000 + least};
+    ck_assert(account_limiter_admit(&gate, &later));
 }
 END_TEST
 
--- a/test/gateway/test_admission.c
+++ b/test/gateway/test_admission.c
@@ -17,7 +17,7 @@
     };
     for (size_t i = 0; i < ALEN(rows); i++) {
         const admission_request_t request = {
-            .aim_ms = 400, .left_ms = 2000, .lost_ms = rows[i].lost_ms};
+            .objective_ms = 400, .left_ms = 2000, .lost_ms = rows[i].lost_ms};
         const admission_backend_t backend = {.load = rows[i].load, .slots = 10, .work_ms = 400};
         ck_assert_int_eq(admission_decide(&request, &backend), rows[i].expected);
     }
@@ -38,7 +38,7 @@
         {20, 10, ADMIT_NOT},         /* in time, but 2.1 requests a slot */
         {14, 0, ADMIT_AFTER_WAIT},   /* working time not known yet */
     };
-    const admission_request_t request = {.aim_ms = 400, .left_ms = 2000};
+    const admission_request_t request = {.objective_ms = 400, .left_ms = 2000};
     for (size_t i = 0; i < ALEN(rows); i++) {
         const admission_backend_t backend = {
             .load = rows[i].load, .slots = 10, .work_ms = rows[i].work_ms};
@@ -51,11 +51,11 @@
 {
     /* The backend's average is that of runs with and without the object in memory. */
     const admission_backend_t backend = {.load = 14, .slots = 10, .work_ms = 300};
-    admission_request_t request = {.aim_ms = 400, .left_ms = 2000};
+    admission_request_t request = {.objective_ms = 400, .left_ms = 2000};
     ck_assert_int_eq(admission_decide(&request, &backend), ADMIT_NOT);
-    request.usual_ms = 150;
+    request.median_ms = 150;
     ck_assert_int_eq(admission_decide(&request, &backend), ADMIT_AFTER_WAIT);
-    request.usual_ms = 350;
+    request.median_ms = 350;
     ck_assert_int_eq(admission_decide(&request, &backend), ADMIT_NOT);
 }
 END_TEST
@@ -83,7 +83,7 @@
     };
     for (size_t i = 0; i < ALEN(rows); i++) {
         const admission_request_t request = {
-            .aim_ms = 400, .left_ms = rows[i].left_ms, .lost_ms = 500};
+            .objective_ms = 400, .left_ms = rows[i].left_ms, .lost_ms = 500};
         const admission_backend_t backend = {.load = rows[i].load, .slots = 10, .work_ms = 150};
         ck_assert_int_eq(admission_decide(&request, &backend), rows[i].expected);
     }
@@ -92,7 +92,7 @@
 
 START_TEST(a_small_difference_of_deadlines_is_no_refusal)
 {
-    const admission_request_t request = {.aim_ms = 400, .left_ms = 1900, .lost_ms = 100};
+    const admission_request_t request = {.objective_ms = 400, .left_ms = 1900, .lost_ms = 100};
     const admission_backend_t backend = {.load = 14, .slots = 10, .work_ms = 150};
     ck_assert_int_eq(admission_decide(&request, &backend), ADMIT_AFTER_WAIT);
 }
--- a/test/gateway/test_backend_rest.c
+++ b/test/gateway/test_backend_backoff.c
@@ -14,7 +14,7 @@
 #include <stdlib.h>
 
 #include "base/xmalloc.h"
-#include "gateway/policy/rest.h"
+#include "gateway/policy/backoff.h"
 #include "test/gateway/site.h"
 #include "test/suites.h"
 
@@ -124,39 +124,39 @@
 
 START_TEST(the_longer_of_two_wishes_holds_up_to_a_bound)
 {
-    rest_t rest = {0};
-    ck_assert(rest_allows(&rest, 0));
-    rest_ask(&rest, 3000, 1000);
-    rest_ask(&rest, 500, 1100);
-    ck_assert(!rest_allows(&rest, 3999) && rest_allows(&rest, 4000));
-    rest_ask(&rest, 3600000, 2000);
-    ck_assert(!rest_allows(&rest, 61999) && rest_allows(&rest, 62000));
+    backoff_t rest = {0};
+    ck_assert(backoff_allows(&rest, 0));
+    backoff_request(&rest, 3000, 1000);
+    backoff_request(&rest, 500, 1100);
+    ck_assert(!backoff_allows(&rest, 3999) && backoff_allows(&rest, 4000));
+    backoff_request(&rest, 3600000, 2000);
+    ck_assert(!backoff_allows(&rest, 61999) && backoff_allows(&rest, 62000));
 }
 END_TEST
 
 START_TEST(only_what_was_sent_since_proves_a_rest_over)
 {
-    rest_t rest = {0};
-    rest_ask(&rest, 1000, 1000);
-    rest_attempt_ended(&rest, 900, true); /* an answer to a request from before */
-    ck_assert(!rest_allows(&rest, 1999));
-    rest_attempt_started(&rest);
-    ck_assert(!rest_allows(&rest, 2000));   /* one is under way */
-    rest_attempt_ended(&rest, 2000, false); /* its caller has left */
-    ck_assert(rest_allows(&rest, 2100));
-    rest_attempt_started(&rest);
-    rest_ask(&rest, 1000, 2200); /* it was turned away */
-    rest_attempt_ended(&rest, 2100, false);
-    ck_assert(!rest_allows(&rest, 3199));
-    rest_attempt_started(&rest);
-    rest_attempt_ended(&rest, 3300, true);
-    rest_attempt_started(&rest);
-    ck_assert(rest_allows(&rest, 3301)); /* any number of them */
+    backoff_t rest = {0};
+    backoff_request(&rest, 1000, 1000);
+    backoff_attempt_ended(&rest, 900, true); /* an answer to a request from before */
+    ck_assert(!backoff_allows(&rest, 1999));
+    backoff_attempt_started(&rest);
+    ck_assert(!backoff_allows(&rest, 2000));   /* one is under way */
+    backoff_attempt_ended(&rest, 2000, false); /* its caller has left */
+    ck_assert(backoff_allows(&rest, 2100));
+    backoff_attempt_started(&rest);
+    backoff_request(&rest, 1000, 2200); /* it was turned away */
+    backoff_attempt_ended(&rest, 2100, false);
+    ck_assert(!backoff_allows(&rest, 3199));
+    backoff_attempt_started(&rest);
+    backoff_attempt_ended(&rest, 3300, true);
+    backoff_attempt_started(&rest);
+    ck_assert(backoff_allows(&rest, 3301)); /* any number of them */
 }
 END_TEST
 
 Suite *
-suite_gateway_backend_rest(void)
+suite_gateway_backend_backoff(void)
 {
     Suite *suite = suite_create("gateway: backend rest");
     TCase *tests = tcase_create("backend rest");
--- a/test/gateway/test_choice.c
+++ b/test/gateway/test_choice.c
@@ -48,7 +48,7 @@
         .has_object = true,
         .now_ms = 5000,
         .senders_settled = true,
-        .request = {.aim_ms = 300, .left_ms = 2000},
+        .request = {.objective_ms = 300, .left_ms = 2000},
     };
     return fixture;
 }
@@ -225,7 +225,7 @@
     ck_assert_int_eq(reason, CHOICE_FULL);
     fixture->backends.items[0]->hall_closed = true;
     ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), far);
-    ck_assert_int_eq(reason, CHOICE_ELSEWHERE);
+    ck_assert_int_eq(reason, CHOICE_OTHER_REGION);
     free_choice(fixture);
 }
 END_TEST
@@ -313,7 +313,7 @@
     name_t of_account[2];
     name_t of_route[1];
     region_plan_t plan = {
-        .share = {1, 0, 0}, .room = {90, 30, 10}, .region_count = 3, .started = true};
+        .share = {1, 0, 0}, .slots = {90, 30, 10}, .region_count = 3, .started = true};
     config_account_t account = {.regions = {2, of_account}};
     unsigned got[2] = {0};
     choice_reason_t reason;
@@ -356,7 +356,7 @@
     backend_t *first = choice_pick(&fixture->input, &reason);
     fail_often(first, 5000);
     health_record(&first->health, true, 5000);
-    fixture->plan.room[0] = 16;
+    fixture->plan.slots[0] = 16;
     fixture->plan.measured_peak = 8; /* three quarters of the slots can carry it */
     ck_assert_ptr_ne(choice_pick(&fixture->input, &reason), first);
     fixture->plan.measured_peak = 13;
--- a/test/gateway/test_final_answer.c
+++ b/test/gateway/test_final_answer.c
@@ -14,8 +14,8 @@
         bool come_back;
         outcome_t outcome;
     } rows[] = {
-        {OUTCOME_NO_ROOM, false, 503, true, OUTCOME_NO_ROOM},
-        {OUTCOME_NO_ROOM, true, 502, false, OUTCOME_UNKNOWN},
+        {OUTCOME_NO_CAPACITY, false, 503, true, OUTCOME_NO_CAPACITY},
+        {OUTCOME_NO_CAPACITY, true, 502, false, OUTCOME_UNKNOWN},
         {OUTCOME_NO_BACKEND, false, 503, true, OUTCOME_NO_BACKEND},
         {OUTCOME_NOT_RUN, false, 503, true, OUTCOME_NOT_RUN},
         {OUTCOME_NOT_RUN, true, 502, false, OUTCOME_UNKNOWN},
@@ -23,7 +23,7 @@
         {OUTCOME_TIMEOUT, true, 504, false, OUTCOME_TIMEOUT},
         {OUTCOME_NO_CONFIGURATION, false, 503, true, OUTCOME_NO_CONFIGURATION},
         {OUTCOME_NO_ROUTE, false, 404, false, OUTCOME_NO_ROUTE},
-        {OUTCOME_CONFIGURATION_BEHIND, false, 503, true, OUTCOME_CONFIGURATION_BEHIND},
+        {OUTCOME_CONFIGURATION_STALE, false, 503, true, OUTCOME_CONFIGURATION_STALE},
     };
     for (size_t i = 0; i < ALEN(rows); i++) {
         const final_answer_t answer = final_answer(rows[i].why, rows[i].may_have_run, 60000);
@@ -44,7 +44,7 @@
         ck_assert_uint_ge(uptime_ms + answer.retry_after_ms, SERVES_MS);
         ck_assert_uint_le(answer.retry_after_ms, SERVES_MS);
         /* Other refusals are none of the start's. */
-        ck_assert_uint_eq(final_answer(OUTCOME_NO_ROOM, false, uptime_ms).retry_after_ms, 400);
+        ck_assert_uint_eq(final_answer(OUTCOME_NO_CAPACITY, false, uptime_ms).retry_after_ms, 400);
     }
 }
 END_TEST
@@ -54,14 +54,14 @@
     const final_answer_t answer = final_answer_held(2750);
     ck_assert_int_eq(answer.status, 503);
     ck_assert_uint_eq(answer.retry_after_ms, 2750);
-    ck_assert_int_eq(answer.outcome, OUTCOME_HELD);
+    ck_assert_int_eq(answer.outcome, OUTCOME_QUARANTINED);
 }
 END_TEST
 
 START_TEST(a_route_is_denied_only_by_who_is_up_to_date)
 {
     ck_assert_int_eq(final_answer_no_route(false), OUTCOME_NO_ROUTE);
-    ck_assert_int_eq(final_answer_no_route(true), OUTCOME_CONFIGURATION_BEHIND);
+    ck_assert_int_eq(final_answer_no_route(true), OUTCOME_CONFIGURATION_STALE);
 }
 END_TEST
 
--- a/test/gateway/test_health.c
+++ b/test/gateway/test_health.c
@@ -38,7 +38,7 @@
     for (int i = 0; i < 10; i++)
         health_record(&seen, true, 1000);
     ck_assert(health_has_unsent(&seen, 1000));
-    health_add_report(&told, seen.unsent_good, seen.unsent_bad, 1400);
+    health_add_report(&told, seen.unsent_successes, seen.unsent_failures, 1400);
     health_mark_sent(&seen);
     ck_assert(!health_has_unsent(&seen, 1400));
     ck_assert(health_is_avoided(&seen, 1400) && health_is_avoided(&told, 1400));
--- a/test/gateway/test_lifetime.c
+++ b/test/gateway/test_lifetime.c
@@ -50,9 +50,9 @@
         ck_assert(shutdown_is_due(&rows[i].input) == rows[i].due);
     ck_assert(!shutdown_refuses_connections(1999));
     ck_assert(shutdown_refuses_connections(2000));
-    ck_assert_uint_eq(shutdown_rest_max_ms(2000), 1000);
-    ck_assert_uint_eq(shutdown_rest_max_ms(2899), 1000);
-    ck_assert_uint_eq(shutdown_rest_max_ms(2900), 0);
+    ck_assert_uint_eq(shutdown_idle_max_ms(2000), 1000);
+    ck_assert_uint_eq(shutdown_idle_max_ms(2899), 1000);
+    ck_assert_uint_eq(shutdown_idle_max_ms(2900), 0);
 }
 END_TEST
 
--- a/test/gateway/test_limit_model.c
+++ b/test/gateway/test_limit_model.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 
 #include "base/xmalloc.h"
-#include "gateway/policy/named_limit.h"
+#include "gateway/policy/rate_limit.h"
 #include "test/gateway/account_model.h"
 #include "test/gateway/limit_model.h"
 #include "test/suites.h"
@@ -120,8 +120,8 @@
 {
     for (size_t known = 1; known <= 40; known++) {
         for (size_t heard = 1; heard < known; heard++) {
-            const permit_rate_t one = named_limit_permits(10, heard, known);
-            const permit_rate_t other = named_limit_permits(10, known - heard, known);
+            const permit_rate_t one = rate_limit_permits(10, heard, known);
+            const permit_rate_t other = rate_limit_permits(10, known - heard, known);
             ck_assert(one.per_s + other.per_s <= 1.5 * 10);
         }
     }
--- a/test/gateway/test_members.c
+++ b/test/gateway/test_members.c
@@ -3,8 +3,8 @@
 
 #include "base/xmalloc.h"
 #include "gateway/membership/directory.h"
-#include "gateway/policy/naming.h"
-#include "gateway/policy/store_turns.h"
+#include "gateway/policy/subset.h"
+#include "gateway/policy/store_schedule.h"
 #include "gateway/state/traffic.h"
 #include "gateway/membership/heartbeat.h"
 #include "gateway/membership/members.h"
@@ -133,9 +133,12 @@
     add_member(&members, "a-2", "a1", 0, 2);
     add_member(&members, "a-3", "a1", 0, 3);
     size_t watchers = 0;
-    watchers += store_turns_watches(members_rank_in_region(&members, STR("a-1"), 0, true, 10100));
-    watchers += store_turns_watches(members_rank_in_region(&members, STR("a-2"), 0, true, 10100));
-    watchers += store_turns_watches(members_rank_in_region(&members, STR("a-3"), 0, true, 10100));
+    watchers +=
+        store_schedule_watches(members_rank_in_region(&members, STR("a-1"), 0, true, 10100));
+    watchers +=
+        store_schedule_watches(members_rank_in_region(&members, STR("a-2"), 0, true, 10100));
+    watchers +=
+        store_schedule_watches(members_rank_in_region(&members, STR("a-3"), 0, true, 10100));
     ck_assert_uint_eq(watchers, 2);
     members_free(&members);
 }
@@ -204,11 +207,11 @@
 }
 END_TEST
 
-static naming_instance_t
+static subset_instance_t
 instance_of(uint64_t key, double link_mbps, double cpu_cores, double requests_per_s,
             double bytes_per_s)
 {
-    return (naming_instance_t){
+    return (subset_instance_t){
         .key = key,
         .link_bytes_per_s = link_mbps * 125000,
         .cpu_cores = cpu_cores,
@@ -219,42 +222,42 @@
 
 START_TEST(naming_takes_the_fewest_that_carry_the_traffic)
 {
-    naming_instance_t all[8];
+    subset_instance_t all[8];
     /* Two strong and six weak ones, 400 requests and 8 MB a second together. */
     for (uint64_t i = 0; i < ALEN(all); i++)
         all[i] = instance_of(i, i >= 6 ? 200 : 10, i >= 6 ? 0.5 : 0.1, 50, 1e6);
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 2);
+    ck_assert_uint_eq(subset_select(all, ALEN(all)), 2);
     ck_assert_uint_eq(all[0].key, 6);
     ck_assert_uint_eq(all[1].key, 7);
     /* The strong ones cannot carry 24 MB/s, nor can all in equal parts. */
     for (size_t i = 0; i < ALEN(all); i++)
         all[i].bytes_per_s = 3e6;
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 8);
+    ck_assert_uint_eq(subset_select(all, ALEN(all)), 8);
     /* Equal ones of 10 Mbit/s: 1.25 MB/s go to three, at 0.33 of their links. */
     for (uint64_t i = 0; i < ALEN(all); i++)
         all[i] = instance_of(i, 10, 0.5, 10, 156250);
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 3);
+    ck_assert_uint_eq(subset_select(all, ALEN(all)), 3);
     /* Requests that cost processor time count as well: 800 a second at 0.2 ms on 0.1 cores. */
     for (uint64_t i = 0; i < ALEN(all); i++)
         all[i] = instance_of(i, 1000, 0.1, 100, 0);
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 4);
+    ck_assert_uint_eq(subset_select(all, ALEN(all)), 4);
 }
 END_TEST
 
 START_TEST(naming_without_traffic_goes_by_what_was_given)
 {
-    naming_instance_t all[8];
+    subset_instance_t all[8];
     for (uint64_t i = 0; i < ALEN(all); i++)
         all[i] = instance_of(i, i < 2 ? 200 : 10, 0.5, 0, 0);
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 2);
+    ck_assert_uint_eq(subset_select(all, ALEN(all)), 2);
     for (uint64_t i = 0; i < ALEN(all); i++)
         all[i] = instance_of(i, 10, 0.5, 0, 0);
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 4);
+    ck_assert_uint_eq(subset_select(all, ALEN(all)), 4);
     /* One that does not say, as before an upgrade: all are named. */
     all[3].link_bytes_per_s = 0;
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 8);
-    ck_assert_uint_eq(naming_decide(all, 1), 1);
-    ck_assert_uint_eq(naming_decide(all, 0), 0);
+    ck_assert_uint_eq(subset_select(all, ALEN(all)), 8);
+    ck_assert_uint_eq(subset_select(all, 1), 1);
+    ck_assert_uint_eq(subset_select(all, 0), 0);
 }
 END_TEST
 
--- a/test/gateway/test_notices.c
+++ b/test/gateway/test_notices.c
@@ -1,6 +1,6 @@
 /* What backend servers tell of themselves: which notice holds, and what it does to choice. */
 #include "base/xmalloc.h"
-#include "gateway/policy/pass_over.h"
+#include "gateway/policy/backend_skip.h"
 #include "gateway/state/notices.h"
 #include "gateway/state/permits.h"
 #include "test/suites.h"
@@ -128,7 +128,7 @@
     permits_t permits = {0};
     uint32_t wait_ms = 0;
     unsigned given = 0;
-    const permit_rate_t rate = named_limit_permits(5, 9, 9);
+    const permit_rate_t rate = rate_limit_permits(5, 9, 9);
     ck_assert(!permits_take(&permits, 1, rate, 1000, &wait_ms)); /* an owner begins with none */
     ck_assert_uint_gt(wait_ms, 0);
     ck_assert(permits_take(&permits, 1, rate, 1000 + wait_ms, &wait_ms));
@@ -147,7 +147,7 @@
     unsigned given = 0;
     for (uint64_t now_ms = 0; now_ms < SPAN_MS; now_ms += 10) {
         uint32_t wait_ms;
-        given += permits_take(&permits, 1, named_limit_permits(0, 9, 9), now_ms, &wait_ms);
+        given += permits_take(&permits, 1, rate_limit_permits(0, 9, 9), now_ms, &wait_ms);
     }
     ck_assert_uint_ge(given, 9);
     ck_assert_uint_le(given, 10);
@@ -160,9 +160,9 @@
     permits_t permits = {0};
     unsigned given = 0;
     uint32_t wait_ms;
-    permits_take(&permits, 1, named_limit_permits(50, 9, 9), 0, &wait_ms);
+    permits_take(&permits, 1, rate_limit_permits(50, 9, 9), 0, &wait_ms);
     for (uint64_t now_ms = 10000; now_ms < 14000; now_ms++)
-        given += permits_take(&permits, 1, named_limit_permits(0.5, 9, 9), now_ms, &wait_ms);
+        given += permits_take(&permits, 1, rate_limit_permits(0.5, 9, 9), now_ms, &wait_ms);
     ck_assert_uint_le(given, 8);
     permits_free(&permits);
 }
@@ -171,30 +171,30 @@
 START_TEST(a_backend_at_its_limit_is_passed_over_until_the_next_permit)
 {
     backend_t backend = {.limit = {true, 2, 100}, .permit_from_ms = 700};
-    ck_assert_int_eq(pass_over(&backend, true, 500), PASSED_AT_LIMIT);
-    ck_assert_uint_eq(pass_over_wait_ms(&backend, 500), 200);
-    ck_assert_int_eq(pass_over(&backend, true, 700), PASSED_NOT);
-    ck_assert_int_eq(pass_over(&backend, false, 700), PASSED_AT_LIMIT);
+    ck_assert_int_eq(backend_skip_reason(&backend, true, 500), SKIP_RATE_LIMITED);
+    ck_assert_uint_eq(backend_skip_wait_ms(&backend, 500), 200);
+    ck_assert_int_eq(backend_skip_reason(&backend, true, 700), SKIP_NONE);
+    ck_assert_int_eq(backend_skip_reason(&backend, false, 700), SKIP_RATE_LIMITED);
     backend.limit.named = false;
-    ck_assert_int_eq(pass_over(&backend, true, 500), PASSED_NOT);
-    ck_assert_int_eq(pass_over(&backend, false, 500), PASSED_NOT);
+    ck_assert_int_eq(backend_skip_reason(&backend, true, 500), SKIP_NONE);
+    ck_assert_int_eq(backend_skip_reason(&backend, false, 500), SKIP_NONE);
 }
 END_TEST
 
 START_TEST(a_backend_that_says_it_leaves_is_passed_over_for_good)
 {
     backend_t backend = {.listed = true, .says_leaving = true, .limit = {true, 2, 100}};
-    ck_assert_int_eq(pass_over(&backend, true, 500), PASSED_LEAVES);
-    ck_assert_uint_eq(pass_over_wait_ms(&backend, 500), 0);
+    ck_assert_int_eq(backend_skip_reason(&backend, true, 500), SKIP_LEAVING);
+    ck_assert_uint_eq(backend_skip_wait_ms(&backend, 500), 0);
     ck_assert(backend_is_leaving(&backend) && !backend_is_usable(&backend, 500));
 }
 END_TEST
 
 START_TEST(a_limited_backend_counts_for_the_slots_that_its_limit_keeps_busy)
 {
-    ck_assert_double_eq_tol(named_limit_room(2, 4, 500), 1, 1e-9);
-    ck_assert_double_eq_tol(named_limit_room(20, 4, 500), 4, 1e-9);
-    ck_assert_double_eq_tol(named_limit_room(2, 4, 0), 4, 1e-9);
+    ck_assert_double_eq_tol(rate_limit_usable_slots(2, 4, 500), 1, 1e-9);
+    ck_assert_double_eq_tol(rate_limit_usable_slots(20, 4, 500), 4, 1e-9);
+    ck_assert_double_eq_tol(rate_limit_usable_slots(2, 4, 0), 4, 1e-9);
 }
 END_TEST
 
--- a/test/gateway/test_region_plan.c
+++ b/test/gateway/test_region_plan.c
@@ -13,7 +13,7 @@
 static region_plan_input_t
 weak_region(double demand)
 {
-    return (region_plan_input_t){.room = {100, 18, 90}, .demand = {demand, demand, demand}};
+    return (region_plan_input_t){.slots = {100, 18, 90}, .demand = {demand, demand, demand}};
 }
 
 START_TEST(plan_sends_a_steady_share_away)
@@ -58,12 +58,12 @@
 START_TEST(plan_makes_up_lost_room_fast)
 {
     region_plan_t plan = {0};
-    region_plan_input_t input = {.room = {100, 100, 100}, .demand = {50, 50, 50}};
+    region_plan_input_t input = {.slots = {100, 100, 100}, .demand = {50, 50, 50}};
     region_plan_update(&plan, &input, 3, 0, 1000);
     for (uint64_t at = 1200; at < 5000; at += 200)
         region_plan_update(&plan, &input, 3, 0, at);
     ck_assert(plan.share[0] > 0.95);
-    input.room[0] = 0;
+    input.slots[0] = 0;
     for (uint64_t at = 5000; at < 9000; at += 200)
         region_plan_update(&plan, &input, 3, 0, at);
     ck_assert(plan.share[0] < 0.2);
@@ -74,7 +74,7 @@
 START_TEST(plan_follows_room_until_demand_is_seen)
 {
     region_plan_t plan = {0};
-    region_plan_input_t input = {.room = {4, 0, 0}};
+    region_plan_input_t input = {.slots = {4, 0, 0}};
     region_plan_update(&plan, &input, 3, 1, 1000);
     ck_assert_double_eq_tol(plan.share[1], 0, 0.001);
     input = weak_region(0);
@@ -83,7 +83,7 @@
     ck_assert(settled > 0.2 && settled < 0.5);
     /* From the first demand on, shares move in steps. */
     input.demand[0] = 1;
-    input.room[1] = 100;
+    input.slots[1] = 100;
     region_plan_update(&plan, &input, 3, 1, 1400);
     ck_assert_double_eq_tol(plan.share[1], settled, 0.001);
 }
--- a/test/gateway/test_relay.c
+++ b/test/gateway/test_relay.c
@@ -87,26 +87,26 @@
 START_TEST(relay_lag_is_measured_from_what_was_lacked_first)
 {
     relay_lag_t lag = {0};
-    ck_assert(!relay_lag_asks(&lag, 60, 10000));
-    relay_lag_notice(&lag, 50, 1000);
-    relay_lag_notice(&lag, 60, 1300);
+    ck_assert(!relay_lag_should_pull(&lag, 60, 10000));
+    relay_lag_detected(&lag, 50, 1000);
+    relay_lag_detected(&lag, 60, 1300);
     relay_lag_reached(&lag, 49); /* a change of long ago */
-    ck_assert(!relay_lag_asks(&lag, 60, 1449));
-    ck_assert(relay_lag_asks(&lag, 60, 1450));
+    ck_assert(!relay_lag_should_pull(&lag, 60, 1449));
+    ck_assert(relay_lag_should_pull(&lag, 60, 1450));
     relay_lag_reached(&lag, 50);
-    ck_assert(!relay_lag_asks(&lag, 60, 10000));
-    relay_lag_notice(&lag, 60, 1500);
-    ck_assert(!relay_lag_asks(&lag, 60, 1949));
-    ck_assert(relay_lag_asks(&lag, 60, 1950));
+    ck_assert(!relay_lag_should_pull(&lag, 60, 10000));
+    relay_lag_detected(&lag, 60, 1500);
+    ck_assert(!relay_lag_should_pull(&lag, 60, 1949));
+    ck_assert(relay_lag_should_pull(&lag, 60, 1950));
 }
 END_TEST
 
 START_TEST(relay_lag_asks_only_who_has_what_is_lacked)
 {
     relay_lag_t lag = {0};
-    relay_lag_notice(&lag, 50, 1000);
-    ck_assert(!relay_lag_asks(&lag, 49, 5000));
-    ck_assert(relay_lag_asks(&lag, 50, 5000));
+    relay_lag_detected(&lag, 50, 1000);
+    ck_assert(!relay_lag_should_pull(&lag, 49, 5000));
+    ck_assert(relay_lag_should_pull(&lag, 50, 5000));
 }
 END_TEST
 
@@ -114,29 +114,29 @@
 {
     enum { CONFIGURATION = 14400 }; /* bytes; the users' of 72 routes */
     relay_lag_t lag = {0};
-    relay_lag_change(&lag, CONFIGURATION, 1000);
-    relay_lag_notice(&lag, 50, 1000);
-    ck_assert(!relay_lag_asks(&lag, 50, 1450));
-    ck_assert(relay_lag_asks(&lag, 50, 1000 + 404 + 450));
+    relay_lag_change_received(&lag, CONFIGURATION, 1000);
+    relay_lag_detected(&lag, 50, 1000);
+    ck_assert(!relay_lag_should_pull(&lag, 50, 1450));
+    ck_assert(relay_lag_should_pull(&lag, 50, 1000 + 404 + 450));
     /* However large, an instance asks in time. */
-    relay_lag_change(&lag, (size_t)100 * LARGE, 1000);
-    ck_assert(relay_lag_asks(&lag, 50, 2450));
+    relay_lag_change_received(&lag, (size_t)100 * LARGE, 1000);
+    ck_assert(relay_lag_should_pull(&lag, 50, 2450));
 }
 END_TEST
 
 START_TEST(relay_lag_forgets_a_large_change)
 {
     relay_lag_t lag = {0};
-    relay_lag_change(&lag, LARGE, 1000);
-    relay_lag_notice(&lag, 50, 60000);
-    ck_assert(relay_lag_asks(&lag, 50, 60450));
+    relay_lag_change_received(&lag, LARGE, 1000);
+    relay_lag_detected(&lag, 50, 60000);
+    ck_assert(relay_lag_should_pull(&lag, 50, 60450));
     /* Small ones have no pause, and large ones that keep coming do not put it off for ever. */
-    relay_lag_change(&lag, SMALL, 60100);
-    ck_assert(relay_lag_asks(&lag, 50, 60450));
+    relay_lag_change_received(&lag, SMALL, 60100);
+    ck_assert(relay_lag_should_pull(&lag, 50, 60450));
     for (uint64_t now_ms = 60200; now_ms <= 61400; now_ms += 200)
-        relay_lag_change(&lag, LARGE, now_ms);
-    ck_assert(!relay_lag_asks(&lag, 50, 61449));
-    ck_assert(relay_lag_asks(&lag, 50, 61450));
+        relay_lag_change_received(&lag, LARGE, now_ms);
+    ck_assert(!relay_lag_should_pull(&lag, 50, 61449));
+    ck_assert(relay_lag_should_pull(&lag, 50, 61450));
 }
 END_TEST
 
--- a/test/gateway/test_retry.c
+++ b/test/gateway/test_retry.c
@@ -22,7 +22,7 @@
 START_TEST(replacing_an_overdue_attempt_takes_from_the_budget)
 {
     retry_budget_t budget = {0};
-    const retry_account_t account = {
+    const retry_context_t context = {
         .budget = &budget,
         .terms = {.ratio = 0.2, .window_ms = 10000, .instances = 1},
         .now_ms = 50000,
@@ -32,14 +32,14 @@
         .sent = true,
         .backend_avoided = true,
     };
-    ck_assert_int_eq(retry_decide_overdue(&overdue, &account), RETRY_OVER_BUDGET);
+    ck_assert_int_eq(retry_decide_overdue(&overdue, &context), RETRY_OVER_BUDGET);
     for (int i = 0; i < 7; i++)
-        retry_budget_count_request(&budget, &account.terms, account.now_ms);
-    ck_assert_int_eq(retry_decide_overdue(&overdue, &account), RETRY_YES);
-    ck_assert_int_eq(retry_decide_overdue(&overdue, &account), RETRY_OVER_BUDGET);
+        retry_budget_count_request(&budget, &context.terms, context.now_ms);
+    ck_assert_int_eq(retry_decide_overdue(&overdue, &context), RETRY_YES);
+    ck_assert_int_eq(retry_decide_overdue(&overdue, &context), RETRY_OVER_BUDGET);
     /* An attempt that still waits for its connection has reached nobody. */
     overdue.sent = false;
-    ck_assert_int_eq(retry_decide_overdue(&overdue, &account), RETRY_YES);
+    ck_assert_int_eq(retry_decide_overdue(&overdue, &context), RETRY_YES);
 }
 END_TEST
 
@@ -59,19 +59,20 @@
           .sends_max = 2,
           .left_ms = 500},
          RETRY_YES},
-        {{.backends_tried = 2, .sends = 2, .sends_max = 2, .left_ms = 500}, RETRY_USED_UP},
+        {{.backends_tried = 2, .sends = 2, .sends_max = 2, .left_ms = 500},
+         RETRY_ATTEMPTS_EXHAUSTED},
         {{.backends_tried = 3, .sends_max = 2, .left_ms = 500}, RETRY_YES},
-        {{.backends_tried = 4, .sends_max = 2, .left_ms = 500}, RETRY_USED_UP},
+        {{.backends_tried = 4, .sends_max = 2, .left_ms = 500}, RETRY_ATTEMPTS_EXHAUSTED},
         {{.backends_tried = 1, .sends = 1, .sends_max = 2, .left_ms = 59}, RETRY_NO_TIME},
     };
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
         retry_budget_t budget = {0};
-        const retry_account_t account = {
+        const retry_context_t context = {
             .budget = &budget,
             .terms = {.constant = 2, .window_ms = 10000, .instances = 1},
             .now_ms = 50000,
         };
-        ck_assert_int_eq(retry_decide(&rows[i].input, &account), rows[i].expected);
+        ck_assert_int_eq(retry_decide(&rows[i].input, &context), rows[i].expected);
     }
 }
 END_TEST
@@ -89,13 +90,13 @@
 START_TEST(a_held_request_is_not_sent_again)
 {
     retry_budget_t budget = {0};
-    const retry_account_t account = {
+    const retry_context_t context = {
         &budget, {.ratio = 1, .constant = 100, .window_ms = 10000, .instances = 1}, 1000};
     retry_input_t input = {.repeatable = true, .sends = 1, .sends_max = 3, .left_ms = 1000};
     input.backends_tried = 1;
-    ck_assert_int_eq(retry_decide(&input, &account), RETRY_YES);
-    input.held = true;
-    ck_assert_int_eq(retry_decide(&input, &account), RETRY_HELD);
+    ck_assert_int_eq(retry_decide(&input, &context), RETRY_YES);
+    input.quarantined = true;
+    ck_assert_int_eq(retry_decide(&input, &context), RETRY_QUARANTINED);
 }
 END_TEST
 
--- a/test/gateway/test_store_turns.c
+++ b/test/gateway/test_store_schedule.c
@@ -3,7 +3,7 @@
 
 #include "base/str.h"
 #include "base/xmalloc.h"
-#include "gateway/policy/store_turns.h"
+#include "gateway/policy/store_schedule.h"
 #include "test/gateway/site.h"
 #include "test/suites.h"
 
@@ -17,13 +17,14 @@
     for (unsigned i = 0; i < FLEET; i++) {
         char name[24];
         snprintf(name, sizeof(name), "front-hall-%u", i);
-        const uint64_t wait_ms = store_turns_start_ms(str_hash(str_from(name), 1), false);
+        const uint64_t wait_ms =
+            store_schedule_startup_delay_ms(str_hash(str_from(name), 1), false);
         ck_assert_uint_le(wait_ms, LATEST_MS);
         first += wait_ms <= FIRST_MS;
     }
     ck_assert_uint_gt(first, 0);
     ck_assert_uint_le(first, FIRST_MAX);
-    ck_assert_uint_eq(store_turns_start_ms(7, true), 0);
+    ck_assert_uint_eq(store_schedule_startup_delay_ms(7, true), 0);
 }
 END_TEST
 
@@ -36,10 +37,11 @@
         size_t calls = 0;
         for (size_t rank = 0; rank < regions[r]; rank++) {
             uint64_t from_ms = 0;
-            while (from_ms < OUTAGE_MS && !store_turns_takes_over(rank, from_ms))
+            while (from_ms < OUTAGE_MS && !store_schedule_takes_over(rank, from_ms))
                 from_ms += 50;
             if (from_ms < OUTAGE_MS)
-                calls += 1 + (OUTAGE_MS - from_ms) / store_turns_look_ms(rank, regions[r]);
+                calls +=
+                    1 + (OUTAGE_MS - from_ms) / store_schedule_probe_interval_ms(rank, regions[r]);
         }
         ck_assert_msg(calls <= CALLS_MAX, "%zu instances make %zu calls", regions[r], calls);
         ck_assert_uint_ge(calls, 2 * OUTAGE_MS / 1000);
@@ -50,11 +52,11 @@
 /* With the first four turned away another one tries within half a second. */
 START_TEST(somebody_takes_over_soon)
 {
-    ck_assert(store_turns_watches(0) && store_turns_watches(1) && !store_turns_watches(2));
-    ck_assert(store_turns_takes_over(0, 0) && store_turns_takes_over(3, 0));
-    ck_assert(!store_turns_takes_over(4, 0));
-    ck_assert(store_turns_takes_over(5, 500));
-    ck_assert(store_turns_takes_over(REGION - 1, 24000));
+    ck_assert(store_schedule_watches(0) && store_schedule_watches(1) && !store_schedule_watches(2));
+    ck_assert(store_schedule_takes_over(0, 0) && store_schedule_takes_over(3, 0));
+    ck_assert(!store_schedule_takes_over(4, 0));
+    ck_assert(store_schedule_takes_over(5, 500));
+    ck_assert(store_schedule_takes_over(REGION - 1, 24000));
 }
 END_TEST
 
@@ -83,7 +85,7 @@
 END_TEST
 
 Suite *
-suite_gateway_store_turns(void)
+suite_gateway_store_schedule(void)
 {
     Suite *suite = suite_create("gateway: store turns");
     TCase *tests = tcase_create("turns");
