--- a/gateway/policy/cold_start.c
+++ b/gateway/policy/cold_start.c
@@ -3,7 +3,7 @@
 #include "base/str.h"
 
 /* Share of the rate that is used, for requests that were sent in one second and arrive in the next.
- * Chosen; cold_rate_of_all_users_stays_in_bound in the tests shows that it holds. */
+ * Chosen; cold_rate_of_all_senders_is_bounded in the tests shows that it holds. */
 #define RATE_SHARE 0.8
 /* Requests a second for a backend whose service is not in the configuration (yet). Chosen,
  * not measured. */
--- a/test/gateway/limit_model.c
+++ b/test/gateway/limit_model.c
@@ -11,26 +11,31 @@
 
 enum {
     REGIONS = 3,
-    NEAR_MS = 3, /* one way in a region, with the turns of two loops */
-    FAR_MS = 37, /* between regions */
+    LOCAL_DELAY_MS = 3,   /* one way in a region, with the turns of two loops */
+    REMOTE_DELAY_MS = 37, /* between regions */
     RUN_MS = 60000,
-    TROUBLE_MS = 20000, /* begins */
-    STILL_MS = 5000,    /* an instance stands still, or is down, for so long */
-    LOST_MS = 1800,     /* silence after which an instance counts as lost */
-    UNANSWERED_MS = 500,
+    FAULT_START_MS = 20000, /* begins */
+    FAULT_MS = 5000,        /* an instance stands still, or is down, for so long */
+    LOST_MS = 1800,         /* silence after which an instance counts as lost */
+    PERMIT_TIMEOUT_MS = 500,
     WINDOW_MS = 4000,
     HORIZON_MS = 8192, /* an event is at most so far ahead */
     COLD_SENDERS_MAX = 512,
 };
 
-typedef enum { EVENT_ASK, EVENT_ANSWER, EVENT_ARRIVAL, EVENT_UNANSWERED } event_kind_t;
+typedef enum {
+    EVENT_PERMIT_REQUEST,
+    EVENT_PERMIT_RESPONSE,
+    EVENT_ARRIVAL,
+    EVENT_PERMIT_TIMEOUT
+} event_kind_t;
 
 typedef struct {
     event_kind_t kind;
     unsigned from; /* who asks, or sends */
     unsigned to;
-    uint64_t asked_ms;
-    bool given;
+    uint64_t requested_ms;
+    bool granted;
     uint32_t wait_ms;
 } event_t;
 
@@ -42,8 +47,8 @@
 
 typedef struct {
     uint64_t permit_from_ms;
-    uint64_t waits_since_ms; /* 0: no answer is missing */
-    bucket_t own;            /* LIMIT_EVEN, LIMIT_SENDERS */
+    uint64_t pending_since_ms; /* 0: no answer is missing */
+    bucket_t own;              /* LIMIT_STRATEGY_EVEN, LIMIT_STRATEGY_SENDERS */
     permits_t permits;
 } node_t;
 
@@ -64,48 +69,48 @@
 }
 
 static bool
-in_trouble(const model_t *model)
+fault_active(const model_t *model)
 {
-    return model->now_ms >= TROUBLE_MS &&
-           (model->conf.trouble == LIMIT_HALF_CUT || model->now_ms < TROUBLE_MS + STILL_MS);
+    return model->now_ms >= FAULT_START_MS && (model->conf.fault == LIMIT_FAULT_PARTITION ||
+                                               model->now_ms < FAULT_START_MS + FAULT_MS);
 }
 
 /* Half of each region is on the other side, the owner not. */
 static bool
-is_apart(const model_t *model, unsigned index)
+is_partitioned(const model_t *model, unsigned index)
 {
-    return model->conf.trouble == LIMIT_HALF_CUT && index / REGIONS % 2 == 1;
+    return model->conf.fault == LIMIT_FAULT_PARTITION && index / REGIONS % 2 == 1;
 }
 
 static bool
-is_still(const model_t *model, unsigned index)
+is_paused(const model_t *model, unsigned index)
 {
-    if (!in_trouble(model))
+    if (!fault_active(model))
         return false;
-    return (model->conf.trouble == LIMIT_OWNER_STILL && index == 0) ||
-           model->conf.trouble == LIMIT_ALL_STILL;
+    return (model->conf.fault == LIMIT_FAULT_OWNER_PAUSED && index == 0) ||
+           model->conf.fault == LIMIT_FAULT_ALL_PAUSED;
 }
 
 static bool
 is_down(const model_t *model, unsigned index)
 {
-    return in_trouble(model) && (model->conf.trouble == LIMIT_ALL_END ||
-                                 (model->conf.trouble == LIMIT_OWNER_ENDS && index == 0));
+    return fault_active(model) && (model->conf.fault == LIMIT_FAULT_ALL_RESTART ||
+                                   (model->conf.fault == LIMIT_FAULT_OWNER_RESTARTS && index == 0));
 }
 
 static bool
-reaches(const model_t *model, unsigned left, unsigned right)
+can_reach(const model_t *model, unsigned left, unsigned right)
 {
-    return !in_trouble(model) || is_apart(model, left) == is_apart(model, right);
+    return !fault_active(model) || is_partitioned(model, left) == is_partitioned(model, right);
 }
 
 /* As `self` sees it by heartbeats. */
 static bool
 seems_alive(const model_t *model, unsigned self, unsigned other)
 {
-    if (self == other || !in_trouble(model) || model->now_ms < TROUBLE_MS + LOST_MS)
+    if (self == other || !fault_active(model) || model->now_ms < FAULT_START_MS + LOST_MS)
         return true;
-    return reaches(model, self, other) && !is_still(model, other) && !is_down(model, other);
+    return can_reach(model, self, other) && !is_paused(model, other) && !is_down(model, other);
 }
 
 /* The owner as `self` sees it: the first of the backend server's region. */
@@ -131,9 +136,9 @@
 }
 
 static uint64_t
-way_ms(unsigned from, unsigned to)
+delay_ms(unsigned from, unsigned to)
 {
-    return region_of(from) == region_of(to) ? NEAR_MS : FAR_MS;
+    return region_of(from) == region_of(to) ? LOCAL_DELAY_MS : REMOTE_DELAY_MS;
 }
 
 /* A request goes out; the backend server is of the first region. */
@@ -141,7 +146,7 @@
 send_request(model_t *model, unsigned from)
 {
     const event_t event = {.kind = EVENT_ARRIVAL, .from = from};
-    post(model, model->now_ms + way_ms(from, 0), &event);
+    post(model, model->now_ms + delay_ms(from, 0), &event);
 }
 
 static permit_rate_t
@@ -170,7 +175,7 @@
 }
 
 static void
-ask(model_t *model, unsigned index)
+request_permit(model_t *model, unsigned index)
 {
     uint32_t wait_ms = 0;
     node_t *node = &model->nodes[index];
@@ -185,44 +190,45 @@
         return;
     }
     const event_t event = {
-        .kind = EVENT_ASK, .from = index, .to = owner, .asked_ms = model->now_ms};
-    const event_t unanswered = {.kind = EVENT_UNANSWERED, .from = index, .asked_ms = model->now_ms};
+        .kind = EVENT_PERMIT_REQUEST, .from = index, .to = owner, .requested_ms = model->now_ms};
+    const event_t timeout = {
+        .kind = EVENT_PERMIT_TIMEOUT, .from = index, .requested_ms = model->now_ms};
     model->messages++;
-    node->waits_since_ms = model->now_ms;
-    post(model, model->now_ms + way_ms(index, owner), &event);
-    post(model, model->now_ms + PERMIT_LIFETIME_MS + 1, &unanswered);
+    node->pending_since_ms = model->now_ms;
+    post(model, model->now_ms + delay_ms(index, owner), &event);
+    post(model, model->now_ms + PERMIT_LIFETIME_MS + 1, &timeout);
 }
 
 static void
-on_ask(model_t *model, const event_t *event)
+on_permit_request(model_t *model, const event_t *event)
 {
-    if (!reaches(model, event->from, event->to) || is_down(model, event->to) ||
+    if (!can_reach(model, event->from, event->to) || is_down(model, event->to) ||
         owner_of(model, event->to) != event->to)
         return;
-    if (is_still(model, event->to)) { /* read when it goes on */
-        post(model, TROUBLE_MS + STILL_MS, event);
+    if (is_paused(model, event->to)) { /* read when it goes on */
+        post(model, FAULT_START_MS + FAULT_MS, event);
         return;
     }
     event_t answer = *event;
-    answer.kind = EVENT_ANSWER;
-    answer.given = take(model, event->to, &answer.wait_ms);
+    answer.kind = EVENT_PERMIT_RESPONSE;
+    answer.granted = take(model, event->to, &answer.wait_ms);
     model->messages++;
-    post(model, model->now_ms + way_ms(event->to, event->from), &answer);
+    post(model, model->now_ms + delay_ms(event->to, event->from), &answer);
 }
 
 static void
-on_answer(model_t *model, const event_t *event)
+on_permit_response(model_t *model, const event_t *event)
 {
     node_t *node = &model->nodes[event->from];
-    if (!reaches(model, event->from, event->to) || is_down(model, event->from))
+    if (!can_reach(model, event->from, event->to) || is_down(model, event->from))
         return;
-    if (is_still(model, event->from)) {
-        post(model, TROUBLE_MS + STILL_MS, event);
+    if (is_paused(model, event->from)) {
+        post(model, FAULT_START_MS + FAULT_MS, event);
         return;
     }
-    if (node->waits_since_ms == event->asked_ms)
-        node->waits_since_ms = 0;
-    if (event->given && model->now_ms - event->asked_ms <= (uint64_t)PERMIT_LIFETIME_MS)
+    if (node->pending_since_ms == event->requested_ms)
+        node->pending_since_ms = 0;
+    if (event->granted && model->now_ms - event->requested_ms <= (uint64_t)PERMIT_LIFETIME_MS)
         send_request(model, event->from);
     else
         refuse(model, event->from, event->wait_ms);
@@ -232,18 +238,18 @@
 on_event(model_t *model, const event_t *event)
 {
     switch (event->kind) {
-    case EVENT_ASK:
-        on_ask(model, event);
+    case EVENT_PERMIT_REQUEST:
+        on_permit_request(model, event);
         break;
-    case EVENT_ANSWER:
-        on_answer(model, event);
+    case EVENT_PERMIT_RESPONSE:
+        on_permit_response(model, event);
         break;
     case EVENT_ARRIVAL:
         model->arrivals[model->now_ms]++;
         break;
-    case EVENT_UNANSWERED:
-        if (model->nodes[event->from].waits_since_ms == event->asked_ms)
-            refuse(model, event->from, UNANSWERED_MS);
+    case EVENT_PERMIT_TIMEOUT:
+        if (model->nodes[event->from].pending_since_ms == event->requested_ms)
+            refuse(model, event->from, PERMIT_TIMEOUT_MS);
         break;
     }
 }
@@ -251,12 +257,12 @@
 /* ---- the other ways ---- */
 
 static void
-init_others(model_t *model)
+init_buckets(model_t *model)
 {
     const limit_conf_t *conf = &model->conf;
     for (unsigned i = 0; i < conf->instances; i++) {
         node_t *node = &model->nodes[i];
-        if (conf->way == LIMIT_EVEN)
+        if (conf->strategy == LIMIT_STRATEGY_EVEN)
             bucket_init(&node->own, conf->limit_per_s / conf->instances, 1, 0);
         else
             cold_start_begin(&node->own, conf->limit_per_s, 0);
@@ -275,44 +281,45 @@
 static void
 on_request(model_t *model, unsigned index)
 {
-    const bool may = model->conf.way == LIMIT_EVEN || is_sender(model, index);
-    if (is_still(model, index) || is_down(model, index))
+    const bool allowed = model->conf.strategy == LIMIT_STRATEGY_EVEN || is_sender(model, index);
+    if (is_paused(model, index) || is_down(model, index))
         return;
-    if (model->conf.way == LIMIT_PERMITS)
-        ask(model, index);
-    else if (may && bucket_take(&model->nodes[index].own, 1, model->now_ms))
+    if (model->conf.strategy == LIMIT_STRATEGY_PERMITS)
+        request_permit(model, index);
+    else if (allowed && bucket_take(&model->nodes[index].own, 1, model->now_ms))
         send_request(model, index);
 }
 
 /* ---- the run ---- */
 
 static unsigned
-draw_caller(model_t *model)
+pick_caller(model_t *model)
 {
     const limit_conf_t *conf = &model->conf;
-    const unsigned most = conf->callers_at > 0 ? conf->callers_at * REGIONS : conf->instances;
-    const unsigned from = conf->instances - most; /* not at the owner, unless at all */
-    return from + (unsigned)(rng_unit(&model->rng) * most);
+    const unsigned callers =
+        conf->caller_instances > 0 ? conf->caller_instances * REGIONS : conf->instances;
+    const unsigned from = conf->instances - callers; /* not at the owner, unless at all */
+    return from + (unsigned)(rng_unit(&model->rng) * callers);
 }
 
 static void
-draw_requests(model_t *model)
+generate_requests(model_t *model)
 {
     const double per_ms = model->conf.limit_per_s * model->conf.demand / 1000;
     double left = -log(1 - rng_unit(&model->rng));
     while (left < per_ms) { /* a Poisson process */
-        on_request(model, draw_caller(model));
+        on_request(model, pick_caller(model));
         left -= log(1 - rng_unit(&model->rng));
     }
 }
 
 /* What has started again knows of no permits that were given out. */
 static void
-forget_permits(model_t *model)
+reset_restarted(model_t *model)
 {
-    const bool all = model->conf.trouble == LIMIT_ALL_END;
+    const bool all = model->conf.fault == LIMIT_FAULT_ALL_RESTART;
     for (unsigned i = 0; i < model->conf.instances; i++) {
-        if (all || (model->conf.trouble == LIMIT_OWNER_ENDS && i == 0))
+        if (all || (model->conf.fault == LIMIT_FAULT_OWNER_RESTARTS && i == 0))
             permits_free(&model->nodes[i].permits);
     }
 }
@@ -320,19 +327,19 @@
 static void
 step(model_t *model)
 {
-    if (model->now_ms == TROUBLE_MS + STILL_MS)
-        forget_permits(model);
+    if (model->now_ms == FAULT_START_MS + FAULT_MS)
+        reset_restarted(model);
     events_t *events = &model->ring[model->now_ms % HORIZON_MS];
     events_t due = *events;
     *events = (events_t){0};
     for (size_t i = 0; i < due.count; i++)
         on_event(model, &due.items[i]);
     free(due.items);
-    draw_requests(model);
+    generate_requests(model);
 }
 
 static limit_result_t
-sum_up(const model_t *model)
+summarize(const model_t *model)
 {
     limit_result_t result = {.messages_per_s = (double)model->messages * 1000 / RUN_MS};
     unsigned in_window = 0;
@@ -340,11 +347,11 @@
     for (unsigned at = 0; at < RUN_MS; at++) {
         in_window += model->arrivals[at];
         in_window -= at >= WINDOW_MS ? model->arrivals[at - WINDOW_MS] : 0;
-        before += at < TROUBLE_MS ? model->arrivals[at] : 0;
-        if (in_window > result.most)
-            result.most = in_window;
+        before += at < FAULT_START_MS ? model->arrivals[at] : 0;
+        if (in_window > result.max_in_window)
+            result.max_in_window = in_window;
     }
-    result.used = before / (model->conf.limit_per_s * TROUBLE_MS / 1000);
+    result.utilization = before / (model->conf.limit_per_s * FAULT_START_MS / 1000);
     return result;
 }
 
@@ -355,10 +362,10 @@
     model = (model_t){.conf = *conf, .rng = {conf->seed}};
     model.nodes = xcalloc(conf->instances, sizeof(*model.nodes));
     model.arrivals = xcalloc(RUN_MS, sizeof(*model.arrivals));
-    init_others(&model);
+    init_buckets(&model);
     for (model.now_ms = 0; model.now_ms < RUN_MS; model.now_ms++)
         step(&model);
-    const limit_result_t result = sum_up(&model);
+    const limit_result_t result = summarize(&model);
     for (unsigned i = 0; i < conf->instances; i++)
         permits_free(&model.nodes[i].permits);
     for (size_t i = 0; i < HORIZON_MS; i++)
--- a/test/gateway/test_admission.c
+++ b/test/gateway/test_admission.c
@@ -24,7 +24,7 @@
 }
 END_TEST
 
-START_TEST(a_wait_is_bounded_by_the_objective_and_by_load)
+START_TEST(queueing_is_bounded_by_objective_and_load)
 {
     static const struct {
         double load;
@@ -47,7 +47,7 @@
 }
 END_TEST
 
-START_TEST(those_ahead_take_the_usual_time_of_the_route)
+START_TEST(queue_wait_uses_the_route_median)
 {
     /* The backend's average is that of runs with and without the object in memory. */
     const admission_backend_t backend = {.load = 14, .slots = 10, .work_ms = 300};
@@ -60,7 +60,7 @@
 }
 END_TEST
 
-START_TEST(without_an_objective_the_callers_time_bounds_the_wait)
+START_TEST(without_objective_the_deadline_bounds_the_wait)
 {
     const admission_backend_t backend = {.load = 14, .slots = 10, .work_ms = 400};
     admission_request_t request = {.left_ms = 600};
@@ -70,7 +70,7 @@
 }
 END_TEST
 
-START_TEST(a_caller_that_came_back_does_not_queue_before_those_in_time)
+START_TEST(retried_requests_queue_less_than_new_ones)
 {
     static const struct {
         double load;
@@ -90,7 +90,7 @@
 }
 END_TEST
 
-START_TEST(a_small_difference_of_deadlines_is_no_refusal)
+START_TEST(small_deadline_difference_is_not_a_retry)
 {
     const admission_request_t request = {.objective_ms = 400, .left_ms = 1900, .lost_ms = 100};
     const admission_backend_t backend = {.load = 14, .slots = 10, .work_ms = 150};
@@ -104,11 +104,11 @@
     Suite *suite = suite_create("gateway: admission");
     TCase *tests = tcase_create("admission");
     tcase_add_test(tests, a_request_is_admitted_while_a_slot_is_free);
-    tcase_add_test(tests, a_wait_is_bounded_by_the_objective_and_by_load);
-    tcase_add_test(tests, those_ahead_take_the_usual_time_of_the_route);
-    tcase_add_test(tests, without_an_objective_the_callers_time_bounds_the_wait);
-    tcase_add_test(tests, a_caller_that_came_back_does_not_queue_before_those_in_time);
-    tcase_add_test(tests, a_small_difference_of_deadlines_is_no_refusal);
+    tcase_add_test(tests, queueing_is_bounded_by_objective_and_load);
+    tcase_add_test(tests, queue_wait_uses_the_route_median);
+    tcase_add_test(tests, without_objective_the_deadline_bounds_the_wait);
+    tcase_add_test(tests, retried_requests_queue_less_than_new_ones);
+    tcase_add_test(tests, small_deadline_difference_is_not_a_retry);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_backend_backoff.c
+++ b/test/gateway/test_backend_backoff.c
@@ -18,11 +18,11 @@
 #include "test/gateway/site.h"
 #include "test/suites.h"
 
-enum { BACKENDS = 4, REST_MS = 1500, KNOWN_MS = 500, BORNE = 2 };
+enum { BACKENDS = 4, BACKOFF_MS = 1500, WARMUP_MS = 500, STRAY_ARRIVALS_MAX = 2 };
 
 /* It turns away whatever comes from now on. */
 static uint64_t
-ask_for_rest(const instances_t *fleet, scripted_t *backend, const char *says)
+reject_with_retry_after(const instances_t *fleet, scripted_t *backend, const char *says)
 {
     backend->behaviour = DOES_REFUSE;
     backend->says = says;
@@ -32,60 +32,61 @@
     return backend->arrivals[before];
 }
 
-START_TEST(a_backend_that_asks_for_rest_gets_it)
+START_TEST(backend_retry_after_is_respected)
 {
     const instances_t fleet = new_instances(BACKENDS, 1);
-    scripted_t *tired = &fleet.site->backends[0];
-    ask_for(&fleet, 1, KNOWN_MS);
-    const uint64_t asked_ms = ask_for_rest(&fleet, tired, "Retry-After: 1.5\r\n");
-    ck_assert_uint_eq(ask_for(&fleet, 1, REST_MS), 0);
-    ck_assert_uint_le(arrivals_between(tired, asked_ms + KNOWN_MS, asked_ms + REST_MS), BORNE);
+    scripted_t *rejecting = &fleet.site->backends[0];
+    ask_for(&fleet, 1, WARMUP_MS);
+    const uint64_t asked_ms = reject_with_retry_after(&fleet, rejecting, "Retry-After: 1.5\r\n");
+    ck_assert_uint_eq(ask_for(&fleet, 1, BACKOFF_MS), 0);
+    ck_assert_uint_le(arrivals_between(rejecting, asked_ms + WARMUP_MS, asked_ms + BACKOFF_MS),
+                      STRAY_ARRIVALS_MAX);
 }
 END_TEST
 
 /* Served again, by one request at first. */
-START_TEST(after_the_rest_one_finds_out_and_the_others_follow)
+START_TEST(one_request_probes_after_backoff)
 {
     const instances_t fleet = new_instances(BACKENDS, 1);
-    scripted_t *tired = &fleet.site->backends[0];
-    ask_for(&fleet, 1, KNOWN_MS);
-    const uint64_t asked_ms = ask_for_rest(&fleet, tired, "Retry-After: 0.6\r\n");
-    tired->behaviour = DOES_HOLD; /* the one that finds out gets no answer for a while */
+    scripted_t *rejecting = &fleet.site->backends[0];
+    ask_for(&fleet, 1, WARMUP_MS);
+    const uint64_t asked_ms = reject_with_retry_after(&fleet, rejecting, "Retry-After: 0.6\r\n");
+    rejecting->behaviour = DOES_HOLD; /* the one that finds out gets no answer for a while */
     ask_for(&fleet, 1, 1000);
-    ck_assert_uint_eq(arrivals_between(tired, asked_ms + 550, UINT64_MAX), 1);
-    tired->behaviour = DOES_ANSWER;
-    tired->says = NULL;
+    ck_assert_uint_eq(arrivals_between(rejecting, asked_ms + 550, UINT64_MAX), 1);
+    rejecting->behaviour = DOES_ANSWER;
+    rejecting->says = NULL;
     const uint64_t from_ms = uv_now(&fleet.site->loop);
     ask_for(&fleet, 1, 1500);
-    ck_assert_uint_ge(arrivals_between(tired, from_ms, UINT64_MAX), 10);
+    ck_assert_uint_ge(arrivals_between(rejecting, from_ms, UINT64_MAX), 10);
 }
 END_TEST
 
 /* Those that come together at its end do not go there together. */
-START_TEST(of_several_requests_one_finds_out)
+START_TEST(concurrent_requests_send_one_probe)
 {
-    enum { TOGETHER = 4 };
+    enum { CONCURRENT = 4 };
     const char *request = "GET /safe/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: t\r\n"
                           "Affinity-Key: 7\r\nDeadline-Ms: 800\r\n\r\n";
     const instances_t fleet = new_instances(2, 1);
     site_t *site = fleet.site;
-    scripted_t *tired = first_backend(site, "/safe/x");
-    reply_t replies[TOGETHER];
-    tired->behaviour = DOES_REFUSE;
-    tired->says = "Retry-After: 0.3\r\n";
+    scripted_t *rejecting = first_backend(site, "/safe/x");
+    reply_t replies[CONCURRENT];
+    rejecting->behaviour = DOES_REFUSE;
+    rejecting->says = "Retry-After: 0.3\r\n";
     ck_assert_int_eq(ask(site, "GET", "/safe/x").status, 200);
     pass(site, 400);
-    tired->behaviour = DOES_HOLD;
-    const size_t before = tired->arrival_count;
-    for (size_t i = 0; i < TOGETHER; i++)
+    rejecting->behaviour = DOES_HOLD;
+    const size_t before = rejecting->arrival_count;
+    for (size_t i = 0; i < CONCURRENT; i++)
         call(site, &replies[i], request);
-    for (size_t i = 0; i < TOGETHER; i++)
+    for (size_t i = 0; i < CONCURRENT; i++)
         RUN_UNTIL(site, replies[i].done);
-    ck_assert_uint_eq(tired->arrival_count, before + 1);
+    ck_assert_uint_eq(rejecting->arrival_count, before + 1);
 }
 END_TEST
 
-START_TEST(where_all_rest_callers_are_told_when_to_come_back)
+START_TEST(callers_get_retry_after_if_all_backends_back_off)
 {
     enum { ASKED = 20 };
     const instances_t fleet = new_instances(2, 1);
@@ -112,7 +113,7 @@
 }
 END_TEST
 
-START_TEST(one_that_turns_away_without_a_wish_is_asked_again)
+START_TEST(rejection_without_retry_after_causes_no_backoff)
 {
     const instances_t fleet = new_instances(BACKENDS, 1);
     scripted_t *full = &fleet.site->backends[0];
@@ -122,36 +123,36 @@
 }
 END_TEST
 
-START_TEST(the_longer_of_two_wishes_holds_up_to_a_bound)
+START_TEST(longer_backoff_wins_up_to_a_maximum)
 {
-    backoff_t rest = {0};
-    ck_assert(backoff_allows(&rest, 0));
-    backoff_request(&rest, 3000, 1000);
-    backoff_request(&rest, 500, 1100);
-    ck_assert(!backoff_allows(&rest, 3999) && backoff_allows(&rest, 4000));
-    backoff_request(&rest, 3600000, 2000);
-    ck_assert(!backoff_allows(&rest, 61999) && backoff_allows(&rest, 62000));
+    backoff_t backoff = {0};
+    ck_assert(backoff_allows(&backoff, 0));
+    backoff_request(&backoff, 3000, 1000);
+    backoff_request(&backoff, 500, 1100);
+    ck_assert(!backoff_allows(&backoff, 3999) && backoff_allows(&backoff, 4000));
+    backoff_request(&backoff, 3600000, 2000);
+    ck_assert(!backoff_allows(&backoff, 61999) && backoff_allows(&backoff, 62000));
 }
 END_TEST
 
-START_TEST(only_what_was_sent_since_proves_a_rest_over)
+START_TEST(only_later_requests_end_the_backoff)
 {
-    backoff_t rest = {0};
-    backoff_request(&rest, 1000, 1000);
-    backoff_attempt_ended(&rest, 900, true); /* an answer to a request from before */
-    ck_assert(!backoff_allows(&rest, 1999));
-    backoff_attempt_started(&rest);
-    ck_assert(!backoff_allows(&rest, 2000));   /* one is under way */
-    backoff_attempt_ended(&rest, 2000, false); /* its caller has left */
-    ck_assert(backoff_allows(&rest, 2100));
-    backoff_attempt_started(&rest);
-    backoff_request(&rest, 1000, 2200); /* it was turned away */
-    backoff_attempt_ended(&rest, 2100, false);
-    ck_assert(!backoff_allows(&rest, 3199));
-    backoff_attempt_started(&rest);
-    backoff_attempt_ended(&rest, 3300, true);
-    backoff_attempt_started(&rest);
-    ck_assert(backoff_allows(&rest, 3301)); /* any number of them */
+    backoff_t backoff = {0};
+    backoff_request(&backoff, 1000, 1000);
+    backoff_attempt_ended(&backoff, 900, true); /* an answer to a request from before */
+    ck_assert(!backoff_allows(&backoff, 1999));
+    backoff_attempt_started(&backoff);
+    ck_assert(!backoff_allows(&backoff, 2000));   /* one is under way */
+    backoff_attempt_ended(&backoff, 2000, false); /* its caller has left */
+    ck_assert(backoff_allows(&backoff, 2100));
+    backoff_attempt_started(&backoff);
+    backoff_request(&backoff, 1000, 2200); /* it was turned away */
+    backoff_attempt_ended(&backoff, 2100, false);
+    ck_assert(!backoff_allows(&backoff, 3199));
+    backoff_attempt_started(&backoff);
+    backoff_attempt_ended(&backoff, 3300, true);
+    backoff_attempt_started(&backoff);
+    ck_assert(backoff_allows(&backoff, 3301)); /* any number of them */
 }
 END_TEST
 
@@ -161,13 +162,13 @@
     Suite *suite = suite_create("gateway: backend rest");
     TCase *tests = tcase_create("backend rest");
     tcase_set_timeout(tests, 30);
-    tcase_add_test(tests, a_backend_that_asks_for_rest_gets_it);
-    tcase_add_test(tests, after_the_rest_one_finds_out_and_the_others_follow);
-    tcase_add_test(tests, of_several_requests_one_finds_out);
-    tcase_add_test(tests, where_all_rest_callers_are_told_when_to_come_back);
-    tcase_add_test(tests, one_that_turns_away_without_a_wish_is_asked_again);
-    tcase_add_test(tests, the_longer_of_two_wishes_holds_up_to_a_bound);
-    tcase_add_test(tests, only_what_was_sent_since_proves_a_rest_over);
+    tcase_add_test(tests, backend_retry_after_is_respected);
+    tcase_add_test(tests, one_request_probes_after_backoff);
+    tcase_add_test(tests, concurrent_requests_send_one_probe);
+    tcase_add_test(tests, callers_get_retry_after_if_all_backends_back_off);
+    tcase_add_test(tests, rejection_without_retry_after_causes_no_backoff);
+    tcase_add_test(tests, longer_backoff_wins_up_to_a_maximum);
+    tcase_add_test(tests, only_later_requests_end_the_backoff);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_breaker.c
+++ b/test/gateway/test_breaker.c
@@ -3,7 +3,7 @@
 #include "gateway/state/backend.h"
 #include "test/suites.h"
 
-START_TEST(failures_in_a_row_suspend_for_longer_and_longer)
+START_TEST(consecutive_failures_double_the_suspension)
 {
     static const uint64_t pauses_ms[] = {0, 300, 600, 1200, 2400, 4800, 4800};
     breaker_t breaker = {0};
@@ -47,7 +47,7 @@
 
 /* Found by reading: a probe that was refused, or whose caller left, was never followed by another.
  */
-START_TEST(a_probe_without_a_result_is_followed_by_another)
+START_TEST(inconclusive_probe_allows_another)
 {
     backend_t *backend = suspended_backend();
     backend_attempt_started(backend);
@@ -68,9 +68,9 @@
 {
     Suite *suite = suite_create("gateway: breaker");
     TCase *tests = tcase_create("breaker");
-    tcase_add_test(tests, failures_in_a_row_suspend_for_longer_and_longer);
+    tcase_add_test(tests, consecutive_failures_double_the_suspension);
     tcase_add_test(tests, one_request_probes_a_suspended_backend);
-    tcase_add_test(tests, a_probe_without_a_result_is_followed_by_another);
+    tcase_add_test(tests, inconclusive_probe_allows_another);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_choice.c
+++ b/test/gateway/test_choice.c
@@ -62,7 +62,7 @@
 }
 
 static backend_t *
-choice_pick(const choice_input_t *input, choice_reason_t *reason)
+select_backend(const choice_input_t *input, choice_reason_t *reason)
 {
     const choice_t choice = choice_make(input);
     *reason = choice.reason;
@@ -81,8 +81,8 @@
     for (uint64_t object = 1; object < 200; object++) {
         choice_reason_t reason;
         one->input.object = two->input.object = object * 0x9e3779b97f4a7c15ULL;
-        const backend_t *left = choice_pick(&one->input, &reason);
-        const backend_t *right = choice_pick(&two->input, &reason);
+        const backend_t *left = select_backend(&one->input, &reason);
+        const backend_t *right = select_backend(&two->input, &reason);
         ck_assert_str_eq(left->info.id.ptr, right->info.id.ptr);
         ck_assert_int_eq(reason, CHOICE_FIRST);
     }
@@ -91,7 +91,7 @@
 }
 END_TEST
 
-START_TEST(choice_moves_few_objects_when_one_leaves)
+START_TEST(choice_remaps_only_objects_of_a_leaving_backend)
 {
     choice_fixture_t *fixture = new_choice();
     backend_t *all[6];
@@ -101,9 +101,9 @@
     for (uint64_t object = 1; object < 300; object++) {
         choice_reason_t reason;
         fixture->input.object = object * 0x9e3779b97f4a7c15ULL;
-        const backend_t *before = choice_pick(&fixture->input, &reason);
+        const backend_t *before = select_backend(&fixture->input, &reason);
         all[2]->info.leaving = true;
-        const backend_t *after = choice_pick(&fixture->input, &reason);
+        const backend_t *after = select_backend(&fixture->input, &reason);
         all[2]->info.leaving = false;
         ck_assert_ptr_ne(after, all[2]);
         if (before != all[2])
@@ -113,7 +113,7 @@
 }
 END_TEST
 
-START_TEST(choice_keeps_to_the_backend_that_has_the_object)
+START_TEST(choice_stays_with_the_backend_holding_the_object)
 {
     /* Objects are not spread over more backends when these are busy: they would run cold there. */
     choice_fixture_t *fixture = new_choice();
@@ -121,45 +121,45 @@
     for (size_t i = 0; i < ALEN(ids); i++)
         add_backend(fixture, ids[i], "a1")->work_ms = 200;
     choice_reason_t reason;
-    backend_t *first = choice_pick(&fixture->input, &reason);
+    backend_t *first = select_backend(&fixture->input, &reason);
     /* With a short queue the request waits there. */
     first->in_flight = 4;
-    ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), first);
+    ck_assert_ptr_eq(select_backend(&fixture->input, &reason), first);
     ck_assert_int_eq(reason, CHOICE_QUEUED);
     first->in_flight = 7;
-    ck_assert_ptr_null(choice_pick(&fixture->input, &reason));
+    ck_assert_ptr_null(select_backend(&fixture->input, &reason));
     ck_assert_int_eq(reason, CHOICE_FULL);
     /* One that may not be used is another matter: the next one keeps its objects. */
     first->info.leaving = true;
-    const backend_t *second = choice_pick(&fixture->input, &reason);
+    const backend_t *second = select_backend(&fixture->input, &reason);
     ck_assert_ptr_ne(second, first);
     ck_assert_int_eq(reason, CHOICE_FIRST);
     free_choice(fixture);
 }
 END_TEST
 
-START_TEST(choice_shares_an_object_that_asks_for_much)
+START_TEST(choice_replicates_objects_in_high_demand)
 {
     choice_fixture_t *fixture = new_choice();
     static const char *const ids[] = {"u1", "u2", "u3", "u4", "u5", "u6"};
     for (size_t i = 0; i < ALEN(ids); i++)
         add_backend(fixture, ids[i], "a1")->work_ms = 200;
     choice_reason_t reason;
-    backend_t *first = choice_pick(&fixture->input, &reason);
+    backend_t *first = select_backend(&fixture->input, &reason);
     first->in_flight = 1;
     fixture->input.object_demand = 2; /* half of the slots of one */
-    ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), first);
+    ck_assert_ptr_eq(select_backend(&fixture->input, &reason), first);
     fixture->input.object_demand = 3;
-    backend_t *second = choice_pick(&fixture->input, &reason);
+    backend_t *second = select_backend(&fixture->input, &reason);
     ck_assert_ptr_ne(second, first);
     second->in_flight = 2;
-    ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), first);
+    ck_assert_ptr_eq(select_backend(&fixture->input, &reason), first);
     /* Only as many as it needs. */
     first->in_flight = 7;
     second->in_flight = 7;
-    ck_assert_ptr_null(choice_pick(&fixture->input, &reason));
+    ck_assert_ptr_null(select_backend(&fixture->input, &reason));
     fixture->input.object_demand = 100;
-    ck_assert_ptr_nonnull(choice_pick(&fixture->input, &reason));
+    ck_assert_ptr_nonnull(select_backend(&fixture->input, &reason));
     free_choice(fixture);
 }
 END_TEST
@@ -197,7 +197,7 @@
 }
 END_TEST
 
-START_TEST(choice_without_an_object_uses_any)
+START_TEST(choice_without_object_uses_any_free_backend)
 {
     /* Nothing is kept in memory for such requests: whoever has room serves them. */
     choice_fixture_t *fixture = new_choice();
@@ -209,7 +209,7 @@
     for (uint64_t request = 1; request < 100; request++) {
         fixture->input.object = request * 0x9e3779b97f4a7c15ULL;
         fixture->input.has_object = false;
-        ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), fixture->backends.items[4]);
+        ck_assert_ptr_eq(select_backend(&fixture->input, &reason), fixture->backends.items[4]);
     }
     free_choice(fixture);
 }
@@ -219,87 +219,87 @@
 {
     choice_fixture_t *fixture = new_choice();
     add_backend(fixture, "u1", "a1")->in_flight = 20;
-    backend_t *far = add_backend(fixture, "u2", "b1");
+    backend_t *remote = add_backend(fixture, "u2", "b1");
     choice_reason_t reason;
-    ck_assert_ptr_null(choice_pick(&fixture->input, &reason));
+    ck_assert_ptr_null(select_backend(&fixture->input, &reason));
     ck_assert_int_eq(reason, CHOICE_FULL);
     fixture->backends.items[0]->hall_closed = true;
-    ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), far);
+    ck_assert_ptr_eq(select_backend(&fixture->input, &reason), remote);
     ck_assert_int_eq(reason, CHOICE_OTHER_REGION);
     free_choice(fixture);
 }
 END_TEST
 
-START_TEST(choice_keeps_large_answers_near)
+START_TEST(choice_prefers_own_hall_for_large_responses)
 {
     choice_fixture_t *fixture = new_choice();
     fixture->config->routes[0].large = true;
     add_backend(fixture, "u1", "a2");
-    backend_t *near = add_backend(fixture, "u2", "a1");
+    backend_t *own = add_backend(fixture, "u2", "a1");
     add_backend(fixture, "u3", "b1");
     choice_reason_t reason;
     for (uint64_t object = 1; object < 50; object++) {
         fixture->input.object = object * 0x9e3779b97f4a7c15ULL;
-        ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), near);
+        ck_assert_ptr_eq(select_backend(&fixture->input, &reason), own);
     }
-    near->in_flight = 20;
-    ck_assert_str_eq(choice_pick(&fixture->input, &reason)->info.id.ptr, "u1");
+    own->in_flight = 20;
+    ck_assert_str_eq(select_backend(&fixture->input, &reason)->info.id.ptr, "u1");
     /* Busy is not gone: they do not leave the region for that, but they do if nobody is there. */
     fixture->backends.items[0]->in_flight = 20;
-    ck_assert_ptr_null(choice_pick(&fixture->input, &reason));
+    ck_assert_ptr_null(select_backend(&fixture->input, &reason));
     fixture->backends.items[0]->info.leaving = true;
-    near->hall_closed = true;
-    const backend_t *far = choice_pick(&fixture->input, &reason);
-    ck_assert_ptr_nonnull(far);
-    ck_assert_str_eq(far->info.id.ptr, "u3");
+    own->hall_closed = true;
+    const backend_t *remote = select_backend(&fixture->input, &reason);
+    ck_assert_ptr_nonnull(remote);
+    ck_assert_str_eq(remote->info.id.ptr, "u3");
     free_choice(fixture);
 }
 END_TEST
 
-START_TEST(choice_sends_large_answers_away_as_planned)
+START_TEST(choice_sends_large_responses_to_planned_region)
 {
     choice_fixture_t *fixture = new_choice();
     choice_reason_t reason;
     size_t away = 0;
     fixture->config->routes[0].large = true;
-    backend_t *near = add_backend(fixture, "u1", "a1");
-    backend_t *far = add_backend(fixture, "u2", "b1");
+    backend_t *own = add_backend(fixture, "u1", "a1");
+    backend_t *remote = add_backend(fixture, "u2", "b1");
     fixture->plan = (region_plan_t){.share = {0.25, 0.75}, .region_count = 3, .started = true};
     for (uint64_t object = 1; object <= 1000; object++) {
         fixture->input.object = object * 0x9e3779b97f4a7c15ULL;
-        away += choice_pick(&fixture->input, &reason) == far;
+        away += select_backend(&fixture->input, &reason) == remote;
     }
     ck_assert(away > 550 && away < 650);
     /* A full backend in the planned region is no reason to go elsewhere; none there is, and then
      * the own region comes first. */
     fixture->input.object = UINT64_MAX;
-    far->in_flight = 20;
-    ck_assert_ptr_null(choice_pick(&fixture->input, &reason));
-    far->info.leaving = true;
+    remote->in_flight = 20;
+    ck_assert_ptr_null(select_backend(&fixture->input, &reason));
+    remote->info.leaving = true;
     add_backend(fixture, "u3", "c1");
-    ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), near);
-    near->in_flight = 20;
-    ck_assert_ptr_null(choice_pick(&fixture->input, &reason));
+    ck_assert_ptr_eq(select_backend(&fixture->input, &reason), own);
+    own->in_flight = 20;
+    ck_assert_ptr_null(select_backend(&fixture->input, &reason));
     free_choice(fixture);
 }
 END_TEST
 
-START_TEST(choice_respects_homes_and_what_was_tried)
+START_TEST(choice_respects_allowed_regions_and_tried_backends)
 {
     choice_fixture_t *fixture = new_choice();
-    backend_t *near = add_backend(fixture, "u1", "a1");
-    backend_t *far = add_backend(fixture, "u2", "c1");
+    backend_t *own = add_backend(fixture, "u1", "a1");
+    backend_t *remote = add_backend(fixture, "u2", "c1");
     config_route_t *route = &fixture->config->routes[0];
     route->regions.items = xcalloc(1, sizeof(*route->regions.items));
     route->regions.count = 1;
     name_set(&route->regions.items[0], STR("c"));
     choice_reason_t reason;
-    ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), far);
-    fixture->input.tried = &far;
+    ck_assert_ptr_eq(select_backend(&fixture->input, &reason), remote);
+    fixture->input.tried = &remote;
     fixture->input.tried_count = 1;
-    ck_assert_ptr_null(choice_pick(&fixture->input, &reason));
+    ck_assert_ptr_null(select_backend(&fixture->input, &reason));
     ck_assert_int_eq(reason, CHOICE_NONE);
-    ck_assert_ptr_nonnull(near);
+    ck_assert_ptr_nonnull(own);
     free_choice(fixture);
 }
 END_TEST
@@ -307,7 +307,7 @@
 /* Regions a (own), b and c; the plan keeps all at home. What is bound to b and c by its account
  * goes to both, by their slots; what route and account together leave no region for goes nowhere.
  */
-START_TEST(choice_shares_what_is_bound_among_its_regions)
+START_TEST(choice_spreads_requests_over_allowed_regions)
 {
     choice_fixture_t *fixture = new_choice();
     name_t of_account[2];
@@ -324,7 +324,7 @@
     fixture->input.account = &account;
     for (uint64_t i = 0; i < 1000; i++) {
         fixture->input.object = i * (UINT64_MAX / 1000);
-        const backend_t *picked = choice_pick(&fixture->input, &reason);
+        const backend_t *picked = select_backend(&fixture->input, &reason);
         ck_assert(picked == bound[0] || picked == bound[1]);
         got[picked == bound[1]]++;
     }
@@ -332,7 +332,7 @@
     ck_assert(name_set(&of_route[0], STR("a")));
     config_route_t *route = &fixture->config->routes[0];
     route->regions = (config_regions_t){1, of_route};
-    ck_assert_ptr_null(choice_pick(&fixture->input, &reason));
+    ck_assert_ptr_null(select_backend(&fixture->input, &reason));
     ck_assert_int_eq(reason, CHOICE_NONE);
     route->regions = (config_regions_t){0};
     free_choice(fixture);
@@ -346,54 +346,54 @@
         health_record(&backend->health, true, now_ms);
 }
 
-START_TEST(choice_keeps_avoided_backends_if_the_others_have_no_room)
+START_TEST(choice_uses_avoided_backends_without_spare_capacity)
 {
     choice_fixture_t *fixture = new_choice();
     static const char *const ids[] = {"u1", "u2", "u3", "u4"};
     for (size_t i = 0; i < ALEN(ids); i++)
         add_backend(fixture, ids[i], "a1");
     choice_reason_t reason;
-    backend_t *first = choice_pick(&fixture->input, &reason);
+    backend_t *first = select_backend(&fixture->input, &reason);
     fail_often(first, 5000);
     health_record(&first->health, true, 5000);
     fixture->plan.slots[0] = 16;
     fixture->plan.measured_peak = 8; /* three quarters of the slots can carry it */
-    ck_assert_ptr_ne(choice_pick(&fixture->input, &reason), first);
+    ck_assert_ptr_ne(select_backend(&fixture->input, &reason), first);
     fixture->plan.measured_peak = 13;
-    ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), first);
+    ck_assert_ptr_eq(select_backend(&fixture->input, &reason), first);
     free_choice(fixture);
 }
 END_TEST
 
-START_TEST(choice_avoids_what_fails)
+START_TEST(choice_avoids_failing_backends)
 {
     choice_fixture_t *fixture = new_choice();
     static const char *const ids[] = {"u1", "u2", "u3", "u4"};
     for (size_t i = 0; i < ALEN(ids); i++)
         add_backend(fixture, ids[i], "a1");
     choice_reason_t reason;
-    backend_t *first = choice_pick(&fixture->input, &reason);
+    backend_t *first = select_backend(&fixture->input, &reason);
     /* One failure, or two, do not move its objects: they would run cold elsewhere. */
     health_record(&first->health, true, 5000);
     health_record(&first->health, true, 5000);
-    ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), first);
+    ck_assert_ptr_eq(select_backend(&fixture->input, &reason), first);
     fail_often(first, 5000);
-    ck_assert_ptr_ne(choice_pick(&fixture->input, &reason), first);
+    ck_assert_ptr_ne(select_backend(&fixture->input, &reason), first);
     /* Tried again after a while. */
     fixture->input.now_ms = 7000;
-    ck_assert_ptr_ne(choice_pick(&fixture->input, &reason), first);
+    ck_assert_ptr_ne(select_backend(&fixture->input, &reason), first);
     fixture->input.now_ms = 13000;
-    ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), first);
+    ck_assert_ptr_eq(select_backend(&fixture->input, &reason), first);
     /* Where most fail, all are used as usual. */
     fixture->input.now_ms = 13100;
     for (size_t i = 0; i < 3; i++)
         fail_often(fixture->backends.items[i], 13100);
-    ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), first);
+    ck_assert_ptr_eq(select_backend(&fixture->input, &reason), first);
     free_choice(fixture);
 }
 END_TEST
 
-START_TEST(choice_sends_a_suspected_request_where_it_takes_least_with_it)
+START_TEST(choice_sends_suspected_requests_to_least_loaded)
 {
     choice_fixture_t *fixture = new_choice();
     choice_reason_t reason;
@@ -406,11 +406,11 @@
     fixture->input.suspected = true;
     for (uint64_t object = 1; object < 20; object++) {
         fixture->input.object = object * 0x9e3779b97f4a7c15ULL;
-        ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), idle);
+        ck_assert_ptr_eq(select_backend(&fixture->input, &reason), idle);
     }
     /* A cold one only if there is no other. */
     idle->cold_until_ms = fixture->input.now_ms + 1000;
-    ck_assert_ptr_ne(choice_pick(&fixture->input, &reason), idle);
+    ck_assert_ptr_ne(select_backend(&fixture->input, &reason), idle);
     free_choice(fixture);
 }
 END_TEST
@@ -426,13 +426,13 @@
     fixture->input.senders = &self;
     fixture->input.sender_count = 1;
     choice_reason_t reason;
-    ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), cold);
+    ck_assert_ptr_eq(select_backend(&fixture->input, &reason), cold);
     cold_start_count_send(&cold->cold_tokens, 5000);
-    ck_assert_ptr_null(choice_pick(&fixture->input, &reason));
+    ck_assert_ptr_null(select_backend(&fixture->input, &reason));
     fixture->input.now_ms = 5300;
-    ck_assert_ptr_eq(choice_pick(&fixture->input, &reason), cold);
+    ck_assert_ptr_eq(select_backend(&fixture->input, &reason), cold);
     fixture->input.senders_settled = false;
-    ck_assert_ptr_null(choice_pick(&fixture->input, &reason));
+    ck_assert_ptr_null(select_backend(&fixture->input, &reason));
     free_choice(fixture);
 }
 END_TEST
@@ -443,21 +443,21 @@
     Suite *suite = suite_create("gateway: choice");
     TCase *tests = tcase_create("choice");
     tcase_add_test(tests, choice_is_the_same_on_every_instance);
-    tcase_add_test(tests, choice_moves_few_objects_when_one_leaves);
-    tcase_add_test(tests, choice_keeps_to_the_backend_that_has_the_object);
-    tcase_add_test(tests, choice_shares_an_object_that_asks_for_much);
+    tcase_add_test(tests, choice_remaps_only_objects_of_a_leaving_backend);
+    tcase_add_test(tests, choice_stays_with_the_backend_holding_the_object);
+    tcase_add_test(tests, choice_replicates_objects_in_high_demand);
     tcase_add_test(tests, replicas_follow_the_demand);
     tcase_add_test(tests, object_rates_decay_and_need_enough_counts);
-    tcase_add_test(tests, choice_without_an_object_uses_any);
+    tcase_add_test(tests, choice_without_object_uses_any_free_backend);
     tcase_add_test(tests, choice_leaves_a_region_only_without_a_usable_backend);
-    tcase_add_test(tests, choice_keeps_large_answers_near);
-    tcase_add_test(tests, choice_sends_large_answers_away_as_planned);
-    tcase_add_test(tests, choice_respects_homes_and_what_was_tried);
-    tcase_add_test(tests, choice_keeps_avoided_backends_if_the_others_have_no_room);
-    tcase_add_test(tests, choice_avoids_what_fails);
-    tcase_add_test(tests, choice_shares_what_is_bound_among_its_regions);
+    tcase_add_test(tests, choice_prefers_own_hall_for_large_responses);
+    tcase_add_test(tests, choice_sends_large_responses_to_planned_region);
+    tcase_add_test(tests, choice_respects_allowed_regions_and_tried_backends);
+    tcase_add_test(tests, choice_uses_avoided_backends_without_spare_capacity);
+    tcase_add_test(tests, choice_avoids_failing_backends);
+    tcase_add_test(tests, choice_spreads_requests_over_allowed_regions);
     tcase_add_test(tests, choice_paces_cold_backends);
-    tcase_add_test(tests, choice_sends_a_suspected_request_where_it_takes_least_with_it);
+    tcase_add_test(tests, choice_sends_suspected_requests_to_least_loaded);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_cold_start.c
+++ b/test/gateway/test_cold_start.c
@@ -3,34 +3,34 @@
 #include "gateway/policy/cold_start.h"
 #include "test/suites.h"
 
-START_TEST(cold_has_few_users_even_with_different_lists)
+START_TEST(cold_backend_has_few_senders_with_diverging_lists)
 {
     enum { PEERS = 9 };
     cold_sender_t all[PEERS];
     for (size_t i = 0; i < PEERS; i++)
         all[i] = (cold_sender_t){.key = 1000 + 77 * i, .region = i % 3};
     for (uint64_t backend = 1; backend < 300; backend++) {
-        size_t users = 0;
-        size_t split_users = 0;
+        size_t senders = 0;
+        size_t split_senders = 0;
         for (size_t i = 0; i < PEERS; i++) {
-            users += cold_start_is_sender(backend * 31, 1, all[i].key, all, PEERS);
+            senders += cold_start_is_sender(backend * 31, 1, all[i].key, all, PEERS);
             /* Half of the instances have never heard of the last four. */
-            split_users +=
+            split_senders +=
                 cold_start_is_sender(backend * 31, 1, all[i].key, all, i < 5 ? 5 : PEERS);
         }
-        ck_assert_uint_ge(users, 1);
-        ck_assert_uint_le(users, COLD_SENDERS);
-        ck_assert_uint_le(split_users, 2 * COLD_SENDERS);
+        ck_assert_uint_ge(senders, 1);
+        ck_assert_uint_le(senders, COLD_SENDERS);
+        ck_assert_uint_le(split_senders, 2 * COLD_SENDERS);
     }
 }
 END_TEST
 
-START_TEST(cold_rate_of_all_users_stays_in_bound)
+START_TEST(cold_rate_of_all_senders_is_bounded)
 {
-    /* 3.5 a second, counted over any second and all users: at most 3.5 x 1.5 + 5. */
+    /* 3.5 a second, counted over any second and all senders: at most 3.5 x 1.5 + 5. */
     enum { STEP_MS = 10, SPAN_MS = 4000 };
     unsigned sent[SPAN_MS / STEP_MS] = {0};
-    for (int user = 0; user < COLD_SENDERS; user++) {
+    for (int sender = 0; sender < COLD_SENDERS; sender++) {
         bucket_t tokens;
         cold_start_begin(&tokens, 3.5, 0);
         for (uint64_t at = 0; at < SPAN_MS; at += STEP_MS) {
@@ -54,8 +54,8 @@
 {
     Suite *suite = suite_create("gateway: cold start");
     TCase *tests = tcase_create("cold start");
-    tcase_add_test(tests, cold_has_few_users_even_with_different_lists);
-    tcase_add_test(tests, cold_rate_of_all_users_stays_in_bound);
+    tcase_add_test(tests, cold_backend_has_few_senders_with_diverging_lists);
+    tcase_add_test(tests, cold_rate_of_all_senders_is_bounded);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_final_answer.c
+++ b/test/gateway/test_final_answer.c
@@ -5,7 +5,7 @@
 #include "gateway/policy/slow.h"
 #include "test/suites.h"
 
-START_TEST(only_what_has_not_run_is_told_to_come_back)
+START_TEST(retry_after_only_if_request_has_not_run)
 {
     static const struct {
         outcome_t why;
@@ -35,7 +35,7 @@
 END_TEST
 
 /* A caller that may come back once finds an instance that serves. */
-START_TEST(a_started_instance_tells_when_it_serves)
+START_TEST(starting_instance_announces_when_it_serves)
 {
     enum { SERVES_MS = 800 };
     for (uint64_t uptime_ms = 0; uptime_ms <= 5000; uptime_ms += 100) {
@@ -49,7 +49,7 @@
 }
 END_TEST
 
-START_TEST(a_held_request_is_told_when_it_may_come_back)
+START_TEST(quarantined_request_gets_retry_after)
 {
     const final_answer_t answer = final_answer_held(2750);
     ck_assert_int_eq(answer.status, 503);
@@ -58,14 +58,14 @@
 }
 END_TEST
 
-START_TEST(a_route_is_denied_only_by_who_is_up_to_date)
+START_TEST(unknown_route_is_denied_only_by_current_configuration)
 {
     ck_assert_int_eq(final_answer_no_route(false), OUTCOME_NO_ROUTE);
     ck_assert_int_eq(final_answer_no_route(true), OUTCOME_CONFIGURATION_STALE);
 }
 END_TEST
 
-START_TEST(outcomes_keep_their_names_in_the_metric)
+START_TEST(outcome_names_are_stable)
 {
     static const char *const names[] = {
         "answered",
@@ -93,7 +93,7 @@
 }
 END_TEST
 
-START_TEST(the_shorter_limit_decides)
+START_TEST(shorter_time_limit_applies)
 {
     static const struct {
         deadline_input_t input;
@@ -110,7 +110,7 @@
 }
 END_TEST
 
-START_TEST(slow_is_far_beyond_the_usual)
+START_TEST(slow_threshold_follows_median_and_objective)
 {
     ck_assert_uint_eq(slow_after_ms(400, 0), 2000);  /* nothing known: five objectives */
     ck_assert_uint_eq(slow_after_ms(400, 50), 400);  /* never below the objective */
@@ -132,13 +132,13 @@
 {
     Suite *suite = suite_create("gateway: final answer");
     TCase *tests = tcase_create("final answer");
-    tcase_add_test(tests, only_what_has_not_run_is_told_to_come_back);
-    tcase_add_test(tests, a_started_instance_tells_when_it_serves);
-    tcase_add_test(tests, a_held_request_is_told_when_it_may_come_back);
-    tcase_add_test(tests, a_route_is_denied_only_by_who_is_up_to_date);
-    tcase_add_test(tests, outcomes_keep_their_names_in_the_metric);
-    tcase_add_test(tests, the_shorter_limit_decides);
-    tcase_add_test(tests, slow_is_far_beyond_the_usual);
+    tcase_add_test(tests, retry_after_only_if_request_has_not_run);
+    tcase_add_test(tests, starting_instance_announces_when_it_serves);
+    tcase_add_test(tests, quarantined_request_gets_retry_after);
+    tcase_add_test(tests, unknown_route_is_denied_only_by_current_configuration);
+    tcase_add_test(tests, outcome_names_are_stable);
+    tcase_add_test(tests, shorter_time_limit_applies);
+    tcase_add_test(tests, slow_threshold_follows_median_and_objective);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_health.c
+++ b/test/gateway/test_health.c
@@ -3,7 +3,7 @@
 #include "gateway/policy/health.h"
 #include "test/suites.h"
 
-START_TEST(health_is_judged_by_rate_not_by_chance)
+START_TEST(health_avoids_by_failure_rate)
 {
     /* Rare outcomes: a few in a row decide. */
     health_t rare = {0};
@@ -28,24 +28,24 @@
 }
 END_TEST
 
-START_TEST(health_is_shared_by_reports)
+START_TEST(health_outcomes_are_shared_between_instances)
 {
-    health_t seen = {0};
-    health_t told = {0};
-    ck_assert(!health_has_unsent(&seen, 1000));
-    health_record(&seen, false, 1000);
-    ck_assert(!health_has_unsent(&seen, 1000)); /* all is well: nothing to tell */
+    health_t own = {0};
+    health_t peer = {0};
+    ck_assert(!health_has_unsent(&own, 1000));
+    health_record(&own, false, 1000);
+    ck_assert(!health_has_unsent(&own, 1000)); /* all is well: nothing to tell */
     for (int i = 0; i < 10; i++)
-        health_record(&seen, true, 1000);
-    ck_assert(health_has_unsent(&seen, 1000));
-    health_add_report(&told, seen.unsent_successes, seen.unsent_failures, 1400);
-    health_mark_sent(&seen);
-    ck_assert(!health_has_unsent(&seen, 1400));
-    ck_assert(health_is_avoided(&seen, 1400) && health_is_avoided(&told, 1400));
-    ck_assert(!health_has_unsent(&told, 1400)); /* what was heard is not told on */
+        health_record(&own, true, 1000);
+    ck_assert(health_has_unsent(&own, 1000));
+    health_add_report(&peer, own.unsent_successes, own.unsent_failures, 1400);
+    health_mark_sent(&own);
+    ck_assert(!health_has_unsent(&own, 1400));
+    ck_assert(health_is_avoided(&own, 1400) && health_is_avoided(&peer, 1400));
+    ck_assert(!health_has_unsent(&peer, 1400)); /* what was heard is not told on */
     /* Successes at a suspect are told as well. */
-    health_record(&seen, false, 1500);
-    ck_assert(health_has_unsent(&seen, 1500));
+    health_record(&own, false, 1500);
+    ck_assert(health_has_unsent(&own, 1500));
 }
 END_TEST
 
@@ -54,8 +54,8 @@
 {
     Suite *suite = suite_create("gateway: health");
     TCase *tests = tcase_create("health");
-    tcase_add_test(tests, health_is_judged_by_rate_not_by_chance);
-    tcase_add_test(tests, health_is_shared_by_reports);
+    tcase_add_test(tests, health_avoids_by_failure_rate);
+    tcase_add_test(tests, health_outcomes_are_shared_between_instances);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_limit_model.c
+++ b/test/gateway/test_limit_model.c
@@ -23,75 +23,78 @@
 static void
 print_row(const limit_conf_t *conf, const limit_result_t *result)
 {
-    static const char *const ways[] = {"even", "senders", "permits"};
-    static const char *const troubles[] = {"none",      "half cut off", "owner still",
-                                           "all still", "owner ends",   "all end"};
+    static const char *const strategies[] = {"even", "senders", "permits"};
+    static const char *const faults[] = {"none",      "half cut off", "owner still",
+                                         "all still", "owner ends",   "all end"};
     if (getenv("LIMIT_MODEL_TABLE") != NULL && conf->seed == 1)
-        printf("| %s | %u%s | %g | %s | %u of %g | %.2f | %.0f |\n", troubles[conf->trouble],
-               conf->instances, conf->callers_at > 0 ? ", callers at 6" : "", conf->limit_per_s,
-               ways[conf->way], result->most, bound_of(conf->limit_per_s), result->used,
-               result->messages_per_s);
+        printf("| %s | %u%s | %g | %s | %u of %g | %.2f | %.0f |\n", faults[conf->fault],
+               conf->instances, conf->caller_instances > 0 ? ", callers at 6" : "",
+               conf->limit_per_s, strategies[conf->strategy], result->max_in_window,
+               bound_of(conf->limit_per_s), result->utilization, result->messages_per_s);
 }
 
 /* Runs it with some seeds; returns the worst of the two figures. */
 static limit_result_t
 run(limit_conf_t conf)
 {
-    limit_result_t worst = {.used = 1e9};
+    limit_result_t worst = {.utilization = 1e9};
     for (conf.seed = 1; conf.seed <= SEEDS; conf.seed++) {
         const limit_result_t result = limit_model_run(&conf);
         print_row(&conf, &result);
-        worst.most = result.most > worst.most ? result.most : worst.most;
-        worst.used = result.used < worst.used ? result.used : worst.used;
+        worst.max_in_window =
+            result.max_in_window > worst.max_in_window ? result.max_in_window : worst.max_in_window;
+        worst.utilization =
+            result.utilization < worst.utilization ? result.utilization : worst.utilization;
     }
     return worst;
 }
 
 /* Every size, limit and place of the callers. */
 static void
-check_trouble(limit_trouble_t trouble)
+check_fault(limit_fault_t fault)
 {
     for (size_t i = 0; i < ALEN(sizes) * ALEN(limits) * 2; i++) {
         const limit_conf_t conf = {
-            .way = LIMIT_PERMITS,
-            .trouble = trouble,
+            .strategy = LIMIT_STRATEGY_PERMITS,
+            .fault = fault,
             .instances = sizes[i / 2 / ALEN(limits)],
-            .callers_at = i % 2 == 0 ? 0 : 2,
+            .caller_instances = i % 2 == 0 ? 0 : 2,
             .limit_per_s = limits[i / 2 % ALEN(limits)],
             .demand = 4,
         };
         const limit_result_t result = run(conf);
-        ck_assert_msg(result.most <= bound_of(conf.limit_per_s), "%u of %g at %u instances",
-                      result.most, bound_of(conf.limit_per_s), conf.instances);
-        ck_assert_msg(result.used >= 0.8 && result.used <= 1.2, "%g of %g used at %u", result.used,
-                      conf.limit_per_s, conf.instances);
+        ck_assert_msg(result.max_in_window <= bound_of(conf.limit_per_s),
+                      "%u of %g at %u instances", result.max_in_window, bound_of(conf.limit_per_s),
+                      conf.instances);
+        ck_assert_msg(result.utilization >= 0.8 && result.utilization <= 1.2, "%g of %g used at %u",
+                      result.utilization, conf.limit_per_s, conf.instances);
     }
 }
 
 START_TEST(permits_keep_a_limit)
 {
-    check_trouble((limit_trouble_t)_i);
+    check_fault((limit_fault_t)_i);
 }
 END_TEST
 
 /* Not judged: what they give stands in the design note. */
-START_TEST(other_ways_are_played)
+START_TEST(alternative_strategies_run)
 {
     for (size_t i = 0; i < ALEN(sizes) * ALEN(limits) * 4; i++) {
         const limit_conf_t conf = {
-            .way = i % 2 == 0 ? LIMIT_EVEN : LIMIT_SENDERS,
+            .strategy = i % 2 == 0 ? LIMIT_STRATEGY_EVEN : LIMIT_STRATEGY_SENDERS,
             .instances = sizes[i / 4 / ALEN(limits)],
-            .callers_at = i / 2 % 2 == 0 ? 0 : 2,
+            .caller_instances = i / 2 % 2 == 0 ? 0 : 2,
             .limit_per_s = limits[i / 4 % ALEN(limits)],
             .demand = 4,
         };
-        ck_assert(run(conf).used >= 0);
+        ck_assert(run(conf).utilization >= 0);
     }
 }
 END_TEST
 
 /* The same for the way that keeps the limits of client accounts: in 5 s, with a burst of two. */
-START_TEST(the_way_of_accounts_is_played)
+START_TEST(account_limit_strategy_runs)
 {
     enum { SPAN_S = 5, BURST = 2 };
     for (size_t i = 0; i < ALEN(sizes) * ALEN(limits); i++) {
@@ -116,7 +119,7 @@
 }
 END_TEST
 
-START_TEST(the_parts_of_a_cut_fleet_keep_the_limit_together)
+START_TEST(partitioned_instances_respect_the_limit)
 {
     for (size_t known = 1; known <= 40; known++) {
         for (size_t heard = 1; heard < known; heard++) {
@@ -134,10 +137,10 @@
     Suite *suite = suite_create("gateway: limit model");
     TCase *tests = tcase_create("limit model");
     tcase_set_timeout(tests, 120);
-    tcase_add_loop_test(tests, permits_keep_a_limit, 0, LIMIT_TROUBLE_COUNT);
-    tcase_add_test(tests, other_ways_are_played);
-    tcase_add_test(tests, the_way_of_accounts_is_played);
-    tcase_add_test(tests, the_parts_of_a_cut_fleet_keep_the_limit_together);
+    tcase_add_loop_test(tests, permits_keep_a_limit, 0, LIMIT_FAULT_COUNT);
+    tcase_add_test(tests, alternative_strategies_run);
+    tcase_add_test(tests, account_limit_strategy_runs);
+    tcase_add_test(tests, partitioned_instances_respect_the_limit);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_quarantine.c
+++ b/test/gateway/test_quarantine.c
@@ -25,20 +25,20 @@
     BACKENDS = 8,
     INSTANCES = 2,
     TRIES = 16,
-    TRY_EVERY_MS = 150,
-    LIST_MS = 1000, /* until a change of the list is in force, below the first term */
+    RETRY_INTERVAL_MS = 150,
+    PROPAGATION_MS = 1000, /* until a change of the list is in force, below the first term */
     /* One end more than it takes to know, and one that crossed the news. */
     ENDS_MAX = 3,
 };
 
-START_TEST(a_request_that_ends_backend_servers_is_not_sent_on_and_on)
+START_TEST(crashing_request_is_not_resent_indefinitely)
 {
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
     fleet.site->poison = "/safe/poison";
     unsigned served = 0;
     for (unsigned i = 0; i < TRIES; i++) {
         ask_through(&fleet, i % INSTANCES, "/safe/poison");
-        pass(fleet.site, TRY_EVERY_MS);
+        pass(fleet.site, RETRY_INTERVAL_MS);
         served += ask_through(&fleet, i % INSTANCES, "/safe/other").status == 200;
     }
     ck_assert_uint_le(fleet.site->ends, ENDS_MAX);
@@ -48,19 +48,19 @@
 
 /* Held at both: two backend servers have ended under it. */
 static void
-make_held(instances_t *fleet, const char *path)
+quarantine_request(instances_t *fleet, const char *path)
 {
     fleet->site->poison = path;
     ask_through(fleet, 0, path);
-    pass(fleet->site, TRY_EVERY_MS); /* the news has its way */
+    pass(fleet->site, RETRY_INTERVAL_MS); /* the news has its way */
     RUN_UNTIL(fleet->site, ask_through(fleet, 0, path).status == 503);
     RUN_UNTIL(fleet->site, ask_through(fleet, 1, path).status == 503);
 }
 
-START_TEST(a_held_request_is_refused_with_the_time_until_it_may_come_back)
+START_TEST(quarantined_request_is_refused_with_retry_after)
 {
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
-    make_held(&fleet, "/safe/poison");
+    quarantine_request(&fleet, "/safe/poison");
     const size_t ends = fleet.site->ends;
     ck_assert_uint_eq(ends, 2);
     const reply_t reply = ask_through(&fleet, 1, "/safe/poison");
@@ -78,7 +78,7 @@
 }
 END_TEST
 
-START_TEST(what_may_have_run_is_told_as_unknown)
+START_TEST(request_that_may_have_run_gets_502)
 {
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
     fleet.site->poison = "/safe/poison";
@@ -88,14 +88,14 @@
 }
 END_TEST
 
-START_TEST(a_connection_that_breaks_alone_is_no_end)
+START_TEST(connection_reset_alone_is_not_a_backend_end)
 {
     enum { BROKEN = 6 };
     site_t *site = new_ready_site(BACKENDS);
     all_do(site, DOES_RESET);
     for (int i = 0; i < BROKEN; i++) {
         ask(site, "GET", "/safe/x");
-        pass(site, TRY_EVERY_MS);
+        pass(site, RETRY_INTERVAL_MS);
     }
     all_do(site, DOES_ANSWER);
     pass(site, 1000); /* the breakers close */
@@ -103,23 +103,23 @@
 }
 END_TEST
 
-START_TEST(it_is_held_without_the_store_too)
+START_TEST(quarantine_works_without_the_store)
 {
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
     standin_store_set_mode(fleet.site->store, STANDIN_STORE_BUSY);
     fleet.site->poison = "/safe/poison";
     for (unsigned i = 0; i < TRIES / 2; i++) {
         ask_through(&fleet, i % INSTANCES, "/safe/poison");
-        pass(fleet.site, TRY_EVERY_MS);
+        pass(fleet.site, RETRY_INTERVAL_MS);
     }
     ck_assert_uint_le(fleet.site->ends, ENDS_MAX);
 }
 END_TEST
 
-START_TEST(an_instance_that_starts_learns_what_its_peers_hold)
+START_TEST(starting_instance_learns_quarantine_from_peers)
 {
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
-    make_held(&fleet, "/safe/poison");
+    quarantine_request(&fleet, "/safe/poison");
     gateway_t *third = start_gateway(fleet.site, "g-3", &fleet.site->store_port,
                                      &gateway_settings(fleet.site->gateway)->peer);
     use_gateway(fleet.site, third);
@@ -131,9 +131,9 @@
 
 /* More instances than tell each other everything: one end is known to the region's keepers only,
  * who tell all when there are two. The request may not be repeated, so that each try ends one. */
-START_TEST(in_a_large_fleet_the_keepers_of_a_request_tell_all)
+START_TEST(quarantine_is_announced_in_a_large_fleet)
 {
-    enum { LARGE = 18, LARGE_TRIES = 12, CROSSED = 1 };
+    enum { LARGE = 18, LARGE_TRIES = 12, IN_FLIGHT_ENDS = 1 };
     site_t *site = new_ready_site(BACKENDS);
     gateway_t *gateways[LARGE] = {site->gateway};
     wire_pool_t *callers[LARGE] = {site->callers};
@@ -152,10 +152,10 @@
     for (size_t i = 0; i < LARGE_TRIES; i++) {
         site->callers = callers[i];
         ask(site, "POST", "/once/poison");
-        pass(site, TRY_EVERY_MS);
+        pass(site, RETRY_INTERVAL_MS);
     }
     ck_assert_uint_ge(site->ends, 2);
-    ck_assert_uint_le(site->ends, 2 + CROSSED);
+    ck_assert_uint_le(site->ends, 2 + IN_FLIGHT_ENDS);
 }
 END_TEST
 
@@ -175,7 +175,7 @@
     return reply;
 }
 
-START_TEST(a_request_is_the_same_in_another_framing_and_another_with_another_body)
+START_TEST(fingerprint_ignores_framing_but_not_body)
 {
     static const char whole[] = "Content-Length: 5\r\n\r\nabcde";
     static const char chunked[] =
@@ -184,9 +184,9 @@
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
     fleet.site->poison = "abcde";
     post_at(&fleet, 0, "/once/x", whole);
-    pass(fleet.site, TRY_EVERY_MS);
+    pass(fleet.site, RETRY_INTERVAL_MS);
     post_at(&fleet, 1, "/once/x", chunked);
-    pass(fleet.site, TRY_EVERY_MS);
+    pass(fleet.site, RETRY_INTERVAL_MS);
     ck_assert_uint_eq(fleet.site->ends, 2);
     ck_assert_int_eq(post_at(&fleet, 0, "/once/x", chunked).status, 503);
     ck_assert_int_eq(post_at(&fleet, 1, "/once/x", whole).status, 503);
@@ -195,7 +195,7 @@
 }
 END_TEST
 
-START_TEST(five_at_once_are_held_each)
+START_TEST(concurrent_crashing_requests_are_each_quarantined)
 {
     enum { FIVE = 5, ROUNDS = 6, ENDS_EACH = 3 };
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
@@ -206,7 +206,7 @@
             snprintf(path, sizeof(path), "/safe/poison-%u", i);
             ask_through(&fleet, (round + i) % INSTANCES, path);
         }
-        pass(fleet.site, TRY_EVERY_MS);
+        pass(fleet.site, RETRY_INTERVAL_MS);
     }
     ck_assert_uint_le(fleet.site->ends, FIVE * ENDS_EACH);
     pass(fleet.site, 1000); /* those that ended are back */
@@ -228,7 +228,7 @@
 
 /* Five times it is at a backend server that ends. A verdict at the first end would have it refused,
  * one that forgot its finished runs at the second. */
-START_TEST(a_request_that_was_only_there_is_served)
+START_TEST(bystander_request_is_served)
 {
     enum { TIMES = 5 };
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
@@ -252,19 +252,19 @@
 }
 END_TEST
 
-START_TEST(a_mended_version_ends_a_verdict_before_its_term)
+START_TEST(fixed_version_lifts_quarantine_early)
 {
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
-    make_held(&fleet, "/safe/poison");
+    quarantine_request(&fleet, "/safe/poison");
     scripted_t *mended = &fleet.site->backends[0];
     RUN_UNTIL(fleet.site, !uv_is_active((uv_handle_t *)&mended->restart));
     const size_t ends = fleet.site->ends;
     mended->mended = true;
     put_backend(fleet.site, mended, "ready");
-    pass(fleet.site, LIST_MS);
+    pass(fleet.site, PROPAGATION_MS);
     for (unsigned i = 0; i < TRIES; i++) {
         ck_assert_int_eq(ask_through(&fleet, i % INSTANCES, "/safe/poison").status, 200);
-        pass(fleet.site, TRY_EVERY_MS / 5);
+        pass(fleet.site, RETRY_INTERVAL_MS / 5);
     }
     pass(fleet.site, quarantine_term_ms(2)); /* the term is over, and nothing is tried elsewhere */
     ck_assert_int_eq(ask_through(&fleet, 0, "/safe/poison").status, 200);
@@ -306,11 +306,11 @@
     return page;
 }
 
-START_TEST(an_operator_sees_and_lifts_what_is_held)
+START_TEST(operator_lists_and_lifts_quarantine)
 {
     char target[64];
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
-    make_held(&fleet, "/safe/poison");
+    quarantine_request(&fleet, "/safe/poison");
     const page_t page = ask_admin(fleet.site, "GET", "/quarantine");
     const char *line = strchr(page.text, '\n');
     ck_assert_ptr_nonnull(strstr(page.text, "held"));
@@ -332,18 +332,18 @@
     Suite *suite = suite_create("gateway_quarantine");
     TCase *tc = tcase_create("quarantine");
     tcase_set_timeout(tc, 60);
-    tcase_add_test(tc, a_request_that_ends_backend_servers_is_not_sent_on_and_on);
-    tcase_add_test(tc, a_held_request_is_refused_with_the_time_until_it_may_come_back);
-    tcase_add_test(tc, what_may_have_run_is_told_as_unknown);
-    tcase_add_test(tc, a_connection_that_breaks_alone_is_no_end);
-    tcase_add_test(tc, it_is_held_without_the_store_too);
-    tcase_add_test(tc, an_instance_that_starts_learns_what_its_peers_hold);
-    tcase_add_test(tc, in_a_large_fleet_the_keepers_of_a_request_tell_all);
-    tcase_add_test(tc, a_request_is_the_same_in_another_framing_and_another_with_another_body);
-    tcase_add_test(tc, five_at_once_are_held_each);
-    tcase_add_test(tc, a_request_that_was_only_there_is_served);
-    tcase_add_test(tc, a_mended_version_ends_a_verdict_before_its_term);
-    tcase_add_test(tc, an_operator_sees_and_lifts_what_is_held);
+    tcase_add_test(tc, crashing_request_is_not_resent_indefinitely);
+    tcase_add_test(tc, quarantined_request_is_refused_with_retry_after);
+    tcase_add_test(tc, request_that_may_have_run_gets_502);
+    tcase_add_test(tc, connection_reset_alone_is_not_a_backend_end);
+    tcase_add_test(tc, quarantine_works_without_the_store);
+    tcase_add_test(tc, starting_instance_learns_quarantine_from_peers);
+    tcase_add_test(tc, quarantine_is_announced_in_a_large_fleet);
+    tcase_add_test(tc, fingerprint_ignores_framing_but_not_body);
+    tcase_add_test(tc, concurrent_crashing_requests_are_each_quarantined);
+    tcase_add_test(tc, bystander_request_is_served);
+    tcase_add_test(tc, fixed_version_lifts_quarantine_early);
+    tcase_add_test(tc, operator_lists_and_lifts_quarantine);
     suite_add_tcase(suite, tc);
     return suite;
 }
--- a/test/gateway/test_region_plan.c
+++ b/test/gateway/test_region_plan.c
@@ -16,7 +16,7 @@
     return (region_plan_input_t){.slots = {100, 18, 90}, .demand = {demand, demand, demand}};
 }
 
-START_TEST(plan_sends_a_steady_share_away)
+START_TEST(plan_share_sent_away_is_stable)
 {
     region_plan_t plan = {0};
     region_plan_input_t input = weak_region(0);
@@ -43,7 +43,7 @@
 }
 END_TEST
 
-START_TEST(plan_shares_an_overload_alike)
+START_TEST(plan_spreads_overload_evenly)
 {
     /* No region has room under the target: the weak one must not keep everything at home. */
     region_plan_t plan = {0};
@@ -55,7 +55,7 @@
 }
 END_TEST
 
-START_TEST(plan_makes_up_lost_room_fast)
+START_TEST(plan_reacts_quickly_to_lost_slots)
 {
     region_plan_t plan = {0};
     region_plan_input_t input = {.slots = {100, 100, 100}, .demand = {50, 50, 50}};
@@ -71,7 +71,7 @@
 END_TEST
 
 /* Found on the users' bench: backends become known one by one, long before the first request. */
-START_TEST(plan_follows_room_until_demand_is_seen)
+START_TEST(plan_follows_slots_until_demand_is_seen)
 {
     region_plan_t plan = {0};
     region_plan_input_t input = {.slots = {4, 0, 0}};
@@ -100,7 +100,7 @@
 }
 
 /* Found on the users' bench: the first requests of all regions went to the first region. */
-START_TEST(plans_are_there_before_the_first_request)
+START_TEST(plans_exist_before_the_first_request)
 {
     static const decoder_port_t decoder = {.config = one_service};
     const topology_t topology = three_regions();
@@ -126,7 +126,7 @@
 }
 END_TEST
 
-START_TEST(plan_keeps_points_in_place)
+START_TEST(plan_change_moves_few_points)
 {
     region_plan_t before = {.share = {0.5, 0.3, 0.2}, .region_count = 3, .own = 0, .started = true};
     region_plan_t after = {
@@ -140,7 +140,7 @@
 END_TEST
 
 /* Found on the users' bench: a region without room for its downloads refused them for good. */
-START_TEST(plan_keeps_large_answers_near_up_to_a_higher_use)
+START_TEST(plan_keeps_large_responses_local_longer)
 {
     static const struct {
         double own_share;
@@ -169,13 +169,13 @@
 {
     Suite *suite = suite_create("gateway: region plan");
     TCase *tests = tcase_create("region plan");
-    tcase_add_test(tests, plan_sends_a_steady_share_away);
-    tcase_add_test(tests, plan_shares_an_overload_alike);
-    tcase_add_test(tests, plan_makes_up_lost_room_fast);
-    tcase_add_test(tests, plan_follows_room_until_demand_is_seen);
-    tcase_add_test(tests, plans_are_there_before_the_first_request);
-    tcase_add_test(tests, plan_keeps_points_in_place);
-    tcase_add_test(tests, plan_keeps_large_answers_near_up_to_a_higher_use);
+    tcase_add_test(tests, plan_share_sent_away_is_stable);
+    tcase_add_test(tests, plan_spreads_overload_evenly);
+    tcase_add_test(tests, plan_reacts_quickly_to_lost_slots);
+    tcase_add_test(tests, plan_follows_slots_until_demand_is_seen);
+    tcase_add_test(tests, plans_exist_before_the_first_request);
+    tcase_add_test(tests, plan_change_moves_few_points);
+    tcase_add_test(tests, plan_keeps_large_responses_local_longer);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_relay.c
+++ b/test/gateway/test_relay.c
@@ -64,7 +64,7 @@
 }
 END_TEST
 
-START_TEST(relay_sends_a_small_change_straight)
+START_TEST(relay_sends_small_changes_directly)
 {
     const spread_t result = spread(SMALL, INSTANCES_MAX, 5);
     ck_assert_uint_eq(result.sent[5], INSTANCES_MAX - 1);
@@ -73,7 +73,7 @@
 }
 END_TEST
 
-START_TEST(relay_pauses_in_proportion_to_what_it_sent)
+START_TEST(relay_pause_is_proportional_to_bytes_sent)
 {
     ck_assert_uint_eq(relay_pause_ms(0, 0), 0);
     ck_assert_uint_eq(relay_pause_ms(SMALL, 0), 1);
@@ -84,7 +84,7 @@
 }
 END_TEST
 
-START_TEST(relay_lag_is_measured_from_what_was_lacked_first)
+START_TEST(relay_lag_counts_from_first_missing_revision)
 {
     relay_lag_t lag = {0};
     ck_assert(!relay_lag_should_pull(&lag, 60, 10000));
@@ -101,7 +101,7 @@
 }
 END_TEST
 
-START_TEST(relay_lag_asks_only_who_has_what_is_lacked)
+START_TEST(relay_lag_pulls_only_from_peers_with_the_revision)
 {
     relay_lag_t lag = {0};
     relay_lag_detected(&lag, 50, 1000);
@@ -110,7 +110,7 @@
 }
 END_TEST
 
-START_TEST(relay_lag_waits_out_the_pause_after_a_large_change)
+START_TEST(relay_lag_waits_for_pause_after_large_change)
 {
     enum { CONFIGURATION = 14400 }; /* bytes; the users' of 72 routes */
     relay_lag_t lag = {0};
@@ -124,7 +124,7 @@
 }
 END_TEST
 
-START_TEST(relay_lag_forgets_a_large_change)
+START_TEST(relay_lag_delay_after_large_change_is_bounded)
 {
     relay_lag_t lag = {0};
     relay_lag_change_received(&lag, LARGE, 1000);
@@ -147,12 +147,12 @@
     TCase *tests = tcase_create("relay");
     tcase_add_test(tests, relay_reaches_every_instance);
     tcase_add_test(tests, relay_sends_few_copies_of_a_large_change);
-    tcase_add_test(tests, relay_sends_a_small_change_straight);
-    tcase_add_test(tests, relay_pauses_in_proportion_to_what_it_sent);
-    tcase_add_test(tests, relay_lag_is_measured_from_what_was_lacked_first);
-    tcase_add_test(tests, relay_lag_asks_only_who_has_what_is_lacked);
-    tcase_add_test(tests, relay_lag_waits_out_the_pause_after_a_large_change);
-    tcase_add_test(tests, relay_lag_forgets_a_large_change);
+    tcase_add_test(tests, relay_sends_small_changes_directly);
+    tcase_add_test(tests, relay_pause_is_proportional_to_bytes_sent);
+    tcase_add_test(tests, relay_lag_counts_from_first_missing_revision);
+    tcase_add_test(tests, relay_lag_pulls_only_from_peers_with_the_revision);
+    tcase_add_test(tests, relay_lag_waits_for_pause_after_large_change);
+    tcase_add_test(tests, relay_lag_delay_after_large_change_is_bounded);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_retry.c
+++ b/test/gateway/test_retry.c
@@ -19,7 +19,7 @@
 END_TEST
 
 /* Found on the users' bench: a send in place of an overdue attempt was not counted. */
-START_TEST(replacing_an_overdue_attempt_takes_from_the_budget)
+START_TEST(overdue_replacement_consumes_retry_budget)
 {
     retry_budget_t budget = {0};
     const retry_context_t context = {
@@ -43,7 +43,7 @@
 }
 END_TEST
 
-START_TEST(a_retry_needs_certainty_time_and_budget)
+START_TEST(retry_requires_safety_time_and_budget)
 {
     static const struct {
         retry_input_t input;
@@ -77,7 +77,7 @@
 }
 END_TEST
 
-START_TEST(a_backends_own_failure_is_replaced_only_if_nothing_was_passed_on)
+START_TEST(backend_error_is_retried_only_before_forwarding)
 {
     ck_assert(retry_replaces_answer(500, true, false));
     ck_assert(!retry_replaces_answer(500, false, false));
@@ -87,7 +87,7 @@
 }
 END_TEST
 
-START_TEST(a_held_request_is_not_sent_again)
+START_TEST(quarantined_request_is_not_retried)
 {
     retry_budget_t budget = {0};
     const retry_context_t context = {
@@ -100,7 +100,7 @@
 }
 END_TEST
 
-START_TEST(after_a_close_the_next_attempt_waits_a_moment)
+START_TEST(retry_after_close_is_delayed)
 {
     ck_assert_uint_eq(retry_after_ms(false), 0);
     ck_assert_uint_gt(retry_after_ms(true), 0);
@@ -113,12 +113,12 @@
 {
     Suite *suite = suite_create("gateway: retry");
     TCase *tests = tcase_create("retry");
-    tcase_add_test(tests, a_held_request_is_not_sent_again);
-    tcase_add_test(tests, after_a_close_the_next_attempt_waits_a_moment);
+    tcase_add_test(tests, quarantined_request_is_not_retried);
+    tcase_add_test(tests, retry_after_close_is_delayed);
     tcase_add_test(tests, retry_budget_bounds_every_window);
-    tcase_add_test(tests, replacing_an_overdue_attempt_takes_from_the_budget);
-    tcase_add_test(tests, a_retry_needs_certainty_time_and_budget);
-    tcase_add_test(tests, a_backends_own_failure_is_replaced_only_if_nothing_was_passed_on);
+    tcase_add_test(tests, overdue_replacement_consumes_retry_budget);
+    tcase_add_test(tests, retry_requires_safety_time_and_budget);
+    tcase_add_test(tests, backend_error_is_retried_only_before_forwarding);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_store_schedule.c
+++ b/test/gateway/test_store_schedule.c
@@ -1,4 +1,4 @@
-/* Who calls the store, and when: the rules, and a herd of instances that start together. */
+/* Who calls the store, and when: the rules, and a fleet of instances that start together. */
 #include <stdio.h>
 
 #include "base/str.h"
@@ -10,7 +10,7 @@
 enum { FLEET = 295, REGION = 98 };
 
 /* With 295 instances the views can go from the first readers to all before most of them read. */
-START_TEST(few_of_a_started_fleet_read_the_store_first)
+START_TEST(few_starting_instances_read_the_store_first)
 {
     enum { FIRST_MS = 250, FIRST_MAX = 30, LATEST_MS = 600 };
     size_t first = 0;
@@ -29,7 +29,7 @@
 END_TEST
 
 /* An outage of 9 s: the calls of a region hardly grow with its instances. */
-START_TEST(an_outage_is_looked_at_in_turns)
+START_TEST(store_probes_during_outage_are_bounded)
 {
     enum { OUTAGE_MS = 9000, CALLS_MAX = 110 };
     static const size_t regions[] = {3, 27, REGION, 467};
@@ -50,7 +50,7 @@
 END_TEST
 
 /* With the first four turned away another one tries within half a second. */
-START_TEST(somebody_takes_over_soon)
+START_TEST(unwatched_store_is_taken_over)
 {
     ck_assert(store_schedule_watches(0) && store_schedule_watches(1) && !store_schedule_watches(2));
     ck_assert(store_schedule_takes_over(0, 0) && store_schedule_takes_over(3, 0));
@@ -60,27 +60,27 @@
 }
 END_TEST
 
-START_TEST(a_herd_of_started_instances_reads_little)
+START_TEST(simultaneous_starts_make_few_store_calls)
 {
     /* Each made seven calls to start with, without its watches; now it announces itself, and a few
      * read for all. */
-    enum { HERD = 12, READS_MAX = 40 };
-    gateway_t *herd[HERD];
+    enum { FLEET_SIZE = 12, READS_MAX = 40 };
+    gateway_t *fleet[FLEET_SIZE];
     site_t *site = new_site(1);
     const uint64_t before = standin_store_calls(site->store);
     const addr_t *seed = NULL;
-    for (size_t i = 0; i < HERD; i++) {
+    for (size_t i = 0; i < FLEET_SIZE; i++) {
         char name[16];
         snprintf(name, sizeof(name), "g-%zu", i + 1);
-        herd[i] = start_gateway(site, name, &site->store_port, seed);
-        seed = &gateway_settings(herd[0])->peer;
+        fleet[i] = start_gateway(site, name, &site->store_port, seed);
+        seed = &gateway_settings(fleet[0])->peer;
     }
-    for (size_t i = 0; i < HERD; i++) {
-        use_gateway(site, herd[i]);
+    for (size_t i = 0; i < FLEET_SIZE; i++) {
+        use_gateway(site, fleet[i]);
         RUN_UNTIL(site, is_ready(site));
     }
     const uint64_t calls = standin_store_calls(site->store) - before;
-    ck_assert_msg(calls <= HERD + READS_MAX, "%llu calls", (unsigned long long)calls);
+    ck_assert_msg(calls <= FLEET_SIZE + READS_MAX, "%llu calls", (unsigned long long)calls);
 }
 END_TEST
 
@@ -90,10 +90,10 @@
     Suite *suite = suite_create("gateway: store turns");
     TCase *tests = tcase_create("turns");
     tcase_set_timeout(tests, 60);
-    tcase_add_test(tests, few_of_a_started_fleet_read_the_store_first);
-    tcase_add_test(tests, an_outage_is_looked_at_in_turns);
-    tcase_add_test(tests, somebody_takes_over_soon);
-    tcase_add_test(tests, a_herd_of_started_instances_reads_little);
+    tcase_add_test(tests, few_starting_instances_read_the_store_first);
+    tcase_add_test(tests, store_probes_during_outage_are_bounded);
+    tcase_add_test(tests, unwatched_store_is_taken_over);
+    tcase_add_test(tests, simultaneous_starts_make_few_store_calls);
     suite_add_tcase(suite, tests);
     return suite;
 }
