--- a/gateway/policy/account_limiter.c
+++ b/gateway/policy/account_limiter.c
@@ -2,24 +2,21 @@
 
 #include <math.h>
 
-/* Seconds of its share that an instance may save up, one request at the least: what 67 instances
- * have saved comes on top of the limit in the worst window. Chosen: half of the time in which a
- * share follows its demand. */
+/* Burst of the bucket in seconds of the share, one request at the least. The bursts of all
+ * instances may exceed the account's limit together. */
 #define BURST_S 0.5
-/* What may be admitted before the owner knows of it; see the rule. Chosen: requests that come in
- * pairs and triples pass, and three instances that wake together take no more than half of a room
- * too much. */
+/* Requests admitted before the owner has acknowledged them: a minimum that lets small bursts pass,
+ * and a multiple of the burst share that bounds the excess after a pause of the process. */
 #define UNACKED_MIN 6.0
 #define UNACKED_BURSTS 1.5
-/* Part of an even share that an instance out of touch has at the least: one that was told next to
- * nothing, as its owner had just taken over, refused requests of accounts at a hundredth of their
- * limit (a soak of nine instances, one of 1,635 requests). */
+/* Minimum share without the owner, as a part of an equal share: the last share may be close to zero
+ * if the owner had just taken over. */
 #define EQUAL_SHARE_MIN 0.5
 #define MS_PER_S 1000.0
 
 enum {
-    /* Bounds on what a refused caller is told, in milliseconds: sooner it would be refused again,
-     * and one that is told more comes to another instance all the same. */
+    /* Bounds on Retry-After: a shorter delay leads to another refusal, a longer one makes the
+     * caller try another instance. */
     RETRY_MIN_MS = 100,
     RETRY_MAX_MS = 10000,
 };
--- a/gateway/policy/account_share.c
+++ b/gateway/policy/account_share.c
@@ -2,35 +2,30 @@
 
 #include <math.h>
 
-/* Time, in seconds, from a surge until all instances are held; see the rule. */
+/* Time, in seconds, from a surge until all instances limit the account. */
 #define REACTION_S 0.2
-/* Room at which instances are held and let go, as parts of the bucket: a surge of 3.7 times the
- * limit's rate takes half a burst of one second within the reaction time. Chosen with the model of
- * test_account_model.c. */
+/* Levels, as parts of the bucket, below which the account is limited and above which it is
+ * released. */
 #define LIMIT_BELOW 0.3
 #define RELEASE_ABOVE 0.5
-/* And while callers ask for this many times the limit's rate: let go at half of the bucket, an
- * account of 40 requests a second was held and let go each second at 67 instances, and two sides of
- * a cut came to 81 requests too many where 44 are borne (model, seed 4). */
+/* Release level while the demand exceeds the limit by this factor; a higher level avoids limiting
+ * and releasing in turns. */
 #define OVERLOAD_FACTOR 1.25
 #define RELEASE_ABOVE_OVERLOADED 0.9
-/* Part of the limit's rate below which callers are far from it. Without this an owner that took
- * over with one instance, and so with next to no room, held accounts at a hundredth of their limit:
- * 3 of 6,084 requests of a soak of 16 instances. */
+/* Demand, as a part of the limit, below which the account is never limited: a new owner may start
+ * with a nearly empty bucket. */
 #define IDLE_FRACTION 0.1
-/* A bucket counts as full from here. */
+/* Level from which the bucket counts as full. */
 #define FULL_FRACTION 0.95
-/* Requests by which the room may fall further before instances are held: an account of a few
- * requests a second would be held for three that came together. A fifth of the 20 that operators
- * bear. */
+/* Requests by which the level may fall further before the account is limited, so that small
+ * accounts may send a few requests at once. */
 #define TOLERANCE 4.0
-/* Part of the room that is shared out in a second. Chosen with the same model. */
+/* Part of the bucket's level that is added to the total share per second. */
 #define ROOM_PER_S 0.5
-/* Bounds on the shares together, as parts of the limit's rate. */
+/* Bounds on the sum of all shares, as parts of the limit's rate. */
 #define TOTAL_MIN 0.3
 #define TOTAL_MAX 1.5
-/* The least depth of a bucket, in seconds of the rate and in requests: without a burst requests
- * still come in pairs. */
+/* Minimum depth of the bucket, in seconds of the rate and in requests. */
 #define DEPTH_MIN_S 0.25
 #define DEPTH_MIN 2.0
 
@@ -40,7 +35,7 @@
     return fmax(burst, fmax(DEPTH_MIN, rate_per_s * DEPTH_MIN_S));
 }
 
-/* Room from which instances are let go. */
+/* Level of the bucket above which the account is released. */
 static double
 release_threshold(const account_share_input_t *input)
 {
--- a/gateway/policy/admission.c
+++ b/gateway/policy/admission.c
@@ -1,24 +1,23 @@
 #include "gateway/policy/admission.h"
 
-/* The longest queue, in requests a slot. It bounds what a backend gets whose working time is not
- * known. 3.0 measured alike (docs/design/gateway/decisions-under-load.md, round 1). */
+/* Longest queue, in requests per slot. Bounds the load of a backend whose service time is not
+ * known. */
 #define LOAD_MAX 2.0
-/* The same for a request that is late already: a fifth of the slots is queued for. Measured in the
- * same round against no queue at all and against 2.0. */
+/* The same for a request that is already late. */
 #define LATE_LOAD_MAX 1.2
-/* A caller that has lost this share of its whole time has come back after a refusal; less is the
- * spread of the callers' deadlines. Chosen, not measured. */
+/* A request that has lost more than this share of its total time is a retry after a refusal; less
+ * is the spread of the callers' deadlines. */
 #define CAME_BACK_SHARE 0.1
 
-/* True if the request came back after a refusal and so cannot be in time any more. */
+/* True if the request was retried after a refusal and can't meet its objective any more. */
 static bool
 is_retry_after_refusal(const admission_request_t *request)
 {
     return request->lost_ms > CAME_BACK_SHARE * (request->left_ms + request->lost_ms);
 }
 
-/* Time until a slot is free for one more request, in working times. The first of the running
- * requests ends after half of the mean time between two ends. */
+/* Time until a slot is free for one more request, in service times. The first running request ends
+ * after half of the mean time between two completions. */
 static double
 queue_wait_factor(const admission_backend_t *backend)
 {
@@ -26,9 +25,8 @@
     return ahead > 0 ? (ahead - 0.5) / backend->slots : 0;
 }
 
-/* Time of a run that has its object in memory, as those that are ahead have. The backend's average
- * holds runs without it too: going by it alone refused 0.069 instead of 0.060 of the requests of
- * padana-ricambi (round 4). */
+/* Service time of the requests ahead. The route's median stands for requests with the object in
+ * memory; the backend's average also includes slower ones without it. */
 static double
 service_time_ms(const admission_request_t *request, const admission_backend_t *backend)
 {
--- a/gateway/policy/breaker.c
+++ b/gateway/policy/breaker.c
@@ -1,6 +1,5 @@
 #include "gateway/policy/breaker.h"
 
-/* All chosen with the first whole path (commit 126925f), not measured one by one. */
 enum {
     FAILURES_BEFORE_SUSPENSION = 2, /* in a row */
     SUSPENSION_MIN_MS = 300,
--- a/gateway/policy/choice.c
+++ b/gateway/policy/choice.c
@@ -3,23 +3,21 @@
 #include "gateway/policy/choice_areas.h"
 #include "gateway/policy/replicas.h"
 
-/* At most this share of a region's backends is avoided. Chosen, not measured. */
+/* Upper bound on the share of a region's backends that are avoided. */
 #define AVOIDED_MAX_SHARE 0.6
-/* And no more than leaves the use of the others' slots below this, at the highest demand measured:
- * a slow backend is better than a refusal. Avoiding whatever the load lowered padana-ricambi
- * scale-1 from 0.462 to 0.435 (commit 28ac3e3). */
+/* Backends are avoided only while the use of the remaining slots at peak demand stays below this: a
+ * slow backend is better than a refused request. */
 #define AVOIDED_MAX_USE 0.9
-/* Added to a cold backend's requests a slot where the least loaded is looked for: above any load
- * that is admitted. */
+/* Load per slot added for cold backends when looking for the least loaded one; above any admitted
+ * load. */
 #define COLD_LOAD 100.0
-/* Brings an avoided backend's score below that of every other. */
+/* Scales the score of an avoided backend below that of all others. */
 #define AVOIDED_FACTOR 1e-9
 
 enum {
-    /* Backends of a service that are looked at; the largest site swept had 3,000 (commit 59548b9).
-     */
+    /* Upper bound on the backends of a service that are considered. */
     CANDIDATES_MAX = 8192,
-    /* Looked at in a region for a request without an object. Chosen, not measured. */
+    /* Backends considered per region for a request without an object. */
     REPLICAS_ANY = REPLICAS_MAX,
 };
 
@@ -47,7 +45,7 @@
     return false;
 }
 
-/* True if the request may go to the backend, whatever state that is in. */
+/* True if the backend matches the request's constraints, whatever its state. */
 static bool
 is_eligible(const choice_input_t *input, const backend_t *backend)
 {
@@ -56,7 +54,7 @@
            choice_allows_region(input, backend->region);
 }
 
-/* True if the backend is warm, or this instance may send a cold one a request now. */
+/* True if the backend is warm, or this instance may send it a request under cold-start pacing. */
 static bool
 within_cold_start_rate(const choice_input_t *input, backend_t *backend)
 {
@@ -67,7 +65,7 @@
                                 input->sender_count);
 }
 
-/* Number of a region's backends that may be avoided, as a share. */
+/* Share of a region's backends that may be avoided. */
 static double
 avoidable_share(const choice_input_t *input)
 {
@@ -75,8 +73,8 @@
     return spare < AVOIDED_MAX_SHARE ? spare : AVOIDED_MAX_SHARE;
 }
 
-/* Puts avoided backends behind all others of their region, unless too many there are avoided: then
- * the fault lies elsewhere, or the others could not carry the load. */
+/* Ranks avoided backends behind all others of their region, unless too many are avoided: the cause
+ * then lies elsewhere, or the others could not carry the load. */
 static void
 demote_avoided(const choice_input_t *input, candidate_t *candidates, size_t count)
 {
@@ -98,12 +96,12 @@
     }
 }
 
-/* The best of those that are skipped. */
+/* The best-ranked of the skipped backends. */
 typedef struct {
     skip_reason_t reason;
     double score;
     size_t region;
-    uint64_t wait_ms; /* the shortest of all */
+    uint64_t wait_ms; /* shortest wait of all skipped backends; 0: not known */
 } best_skipped_t;
 
 static void
@@ -148,8 +146,7 @@
     return backend_load(backend, input->now_ms) / backend->info.capacity;
 }
 
-/* The best candidates of an area, in the request's order, at most `max_count`; returns their
- * number. */
+/* Finds the best-ranked candidates of an area, at most `max_count`; returns their number. */
 static size_t
 find_replicas(const choice_input_t *input, const candidate_t *candidates, size_t count,
               const choice_area_t *area, candidate_t *out, size_t max_count)
@@ -172,8 +169,8 @@
     return found;
 }
 
-/* The candidate of an area with the fewest requests a slot, warm before cold; returns the number
- * found, 1 at the most. */
+/* Finds the candidate of an area with the fewest requests per slot, warm ones first; returns the
+ * number found, 0 or 1. */
 static size_t
 find_least_loaded(const choice_input_t *input, const candidate_t *candidates, size_t count,
                   const choice_area_t *area, candidate_t *out)
@@ -208,10 +205,9 @@
     return admission_decide(&input->request, &state);
 }
 
-/* Index of the replica that admits the request, `count` if none does. A request about an object
- * queues at the first replica that lets it, rather than run without the object in memory; others
- * queue only if no replica has room.
- */
+/* Returns the index of the replica that admits the request, `count` if none does. A request about
+ * an object queues at the first replica that accepts it rather than run without the object in
+ * memory; other requests queue only if no replica has a free slot. */
 static size_t
 pick_replica(const choice_input_t *input, const candidate_t *replicas, size_t count,
              admission_t *admission)
@@ -228,8 +224,8 @@
     return queue_at;
 }
 
-/* Cuts the candidates of an area down to the object's replicas, the least loaded first; returns
- * their number. */
+/* Truncates the candidates of an area to the object's replicas and moves the least loaded to the
+ * front; returns their number. */
 static size_t
 keep_replicas(const choice_input_t *input, candidate_t *replicas, size_t count)
 {
@@ -259,7 +255,7 @@
     return index > 0 ? CHOICE_FALLBACK : CHOICE_FIRST;
 }
 
-/* The candidates of an area that the request looks at, in their order. */
+/* Finds the candidates of an area that the request may try, in order; returns their number. */
 static size_t
 find_in_area(const choice_input_t *input, const candidate_t *candidates, size_t count,
              const choice_area_t *area, candidate_t *out)
@@ -271,7 +267,7 @@
     return input->has_object ? keep_replicas(input, out, found) : found;
 }
 
-/* Looks for a backend in one area after the other; false if none admits the request. */
+/* Searches the areas in order for a backend that admits the request; false if none does. */
 static bool
 pick_backend(const choice_input_t *input, const candidate_t *candidates, size_t count,
              const best_skipped_t *skipped, choice_t *choice)
--- a/gateway/policy/choice_areas.c
+++ b/gateway/policy/choice_areas.c
@@ -13,8 +13,8 @@
            (input->account != NULL && input->account->regions.count > 0);
 }
 
-/* Route and account may both be bound to regions; both bind. What lies in no region that the
- * settings list may serve only what is not bound. */
+/* Route and client account may each be restricted to regions; both restrictions apply. Backends
+ * outside of all configured regions serve unrestricted requests only. */
 bool
 choice_allows_region(const choice_input_t *input, size_t region)
 {
@@ -34,14 +34,14 @@
     return area->halls == HALL_SCOPE_ALL || own == (area->halls == HALL_SCOPE_OWN);
 }
 
-/* The region of a request that may not go where the plan has it: those that it may go to share its
- * like in the plan's proportions, or by their slots if the plan sends nothing there. */
+/* Picks a region for a request that may not go to its planned one: in proportion to the plan's
+ * shares of the allowed regions, or to their slots if the plan sends nothing there. */
 static size_t
 pick_allowed_region(const choice_input_t *input, double point)
 {
     const region_plan_t *plan = input->plan;
     double weight[TOPOLOGY_REGIONS_MAX];
-    double sums[2] = {0}; /* of the shares and of the slots of the regions that are allowed */
+    double sums[2] = {0}; /* of the shares and of the slots of the allowed regions */
     size_t last = input->own_region;
     for (size_t i = 0; i < plan->region_count; i++) {
         sums[0] += choice_allows_region(input, i) ? plan->share[i] : 0;
--- a/gateway/policy/cold_start.c
+++ b/gateway/policy/cold_start.c
@@ -2,15 +2,14 @@
 
 #include "base/str.h"
 
-/* Share of the rate that is used, for requests that were sent in one second and arrive in the next.
- * Chosen; cold_rate_of_all_senders_is_bounded in the tests shows that it holds. */
+/* Share of the configured rate that is used, as a margin for requests sent in one second that
+ * arrive in the next. */
 #define RATE_SHARE 0.8
-/* Requests a second for a backend whose service is not in the configuration (yet). Chosen,
- * not measured. */
+/* Requests per second to a backend whose service is not in the configuration. */
 #define UNKNOWN_RATE_PER_S 1.0
-/* Used where the configuration sets no bound. */
+/* Rate if the configuration sets no limit. */
 #define UNBOUNDED_RATE_PER_S 1e6
-/* Requests that may be sent at once. */
+/* Requests that may be sent back to back. */
 #define BURST 1.0
 
 static uint64_t
--- a/gateway/policy/deadline.c
+++ b/gateway/policy/deadline.c
@@ -1,6 +1,6 @@
 #include "gateway/policy/deadline.h"
 
-enum { DEFAULT_LIMIT_MS = 30000 }; /* of a route without a limit. Chosen, not measured */
+enum { DEFAULT_LIMIT_MS = 30000 }; /* for a route without a limit */
 
 uint64_t
 deadline_allowed_ms(const deadline_input_t *input)
--- a/gateway/policy/deadline.h
+++ b/gateway/policy/deadline.h
@@ -1,11 +1,7 @@
 /*
- * Deadline: how long a request may take before it is given up.
+ * Request deadline: the time allowed from a request's first byte to the end of its response.
  *
- * Decides: the time allowed from a request's first byte to the end of its answer.
- * Inputs: the route's time limit and the caller's own deadline, in milliseconds.
- * Rule: the shorter of the two.
- *
- * Pure: no state, no clock.
+ * The shorter of the route's limit and the caller's own deadline applies. Stateless.
  */
 #pragma once
 
@@ -13,10 +9,10 @@
 #include <stdint.h>
 
 typedef struct {
-    uint32_t route_limit_ms; /* 0 if the configuration sets none */
+    uint32_t route_limit_ms; /* 0: not configured */
     bool has_caller_limit;
-    uint32_t caller_limit_ms; /* time that the caller waits */
+    uint32_t caller_limit_ms; /* time until the caller gives up */
 } deadline_input_t;
 
-/* Milliseconds, at least 1. */
+/* Returns the allowed time in milliseconds, at least 1. */
 uint64_t deadline_allowed_ms(const deadline_input_t *input);
--- a/gateway/policy/final_answer.c
+++ b/gateway/policy/final_answer.c
@@ -2,17 +2,14 @@
 
 #include <http_parser.h>
 
-/* Retry-After of refused requests, in milliseconds. Measured together with LATER_SHARE
- * of admission.c (commit ea47030), not alone. */
+/* Retry-After of refused requests. */
 enum { RETRY_AFTER_MS = 400 };
 
-/* Callers come back within as long after the time told. */
+/* Upper bound of the random delay added to a known Retry-After. */
 enum { RETRY_JITTER_MS = 200 };
 
-/* Uptime at which nine in ten of 295 instances that start together serve: 0.71 s (log of a day on
- * which all restart). With 1.6 s here callers came back too late for their objective of 1.5 s:
- * 3,423 of 8,540 in time in the two seconds after that restart, 5,190 with 0.4 s whatever the
- * uptime. */
+/* Uptime at which most instances serve after a simultaneous restart. A larger value makes callers
+ * retry too late for their objective. */
 enum { STARTUP_MS = 800 };
 
 static uint32_t
--- a/gateway/policy/health.c
+++ b/gateway/policy/health.c
@@ -2,23 +2,20 @@
 
 #include "gateway/policy/health.h"
 
-/* A backend is avoided above the first failure rate until it has fallen below the second. Limits of
- * 0.25 instead of 0.6 lowered the credit of the recorded day inc-ad55 from 0.855 to 0.826, with
- * hysteresis to 0.785; with 0.6 it was 0.840 and other days were within noise (commit 35bcf57). */
+/* A backend is avoided once its failure rate exceeds the first limit, until it has fallen below the
+ * second. Lower limits avoid backends that still serve most requests. */
 #define AVOID_RATE 0.6
 #define RECOVER_RATE 0.25
-/* Outcomes are averaged over this time in milliseconds; where they are rarer, over this number of
- * outcomes, however old. Judging by the last five outcomes instead lowered padana-ricambi trouble-1
- * from 0.626 to 0.571 (commit 28ac3e3). */
+/* Outcomes are averaged over this time in milliseconds, or over this number of outcomes if they are
+ * rarer. */
 #define AVERAGE_TIME_MS 2000.0
 #define AVERAGE_OUTCOMES_MIN 3.5
-/* How fast the rate decays, in milliseconds: slowly while the backend is in use, so that rare
- * requests can tell as well, and fast while it is avoided and few outcomes come. Chosen, not
- * measured. */
+/* Half-life of the failure rate in milliseconds: long while the backend is in use, so that rare
+ * requests count, and short while it is avoided and gets few requests. */
 #define ACTIVE_HALF_LIFE_MS 20000.0
 #define AVOIDED_HALF_LIFE_MS 3000.0
-/* Above this rate successes are sent to the other instances too, so that all forgive at the same
- * time. Chosen, not measured. */
+/* Failure rate above which successes are sent to the other instances as well, so that all stop
+ * avoiding the backend at the same time. */
 #define SUSPECT_RATE 0.1
 
 static double
@@ -34,7 +31,7 @@
     return health->failure_rate * exp2(-age_ms(health, now_ms) / half_life);
 }
 
-/* Number of outcomes that the average stands for now. */
+/* Returns the number of outcomes that the average stands for at present. */
 static double
 weight_at(const health_t *health, uint64_t now_ms)
 {
--- a/gateway/policy/key_check.h
+++ b/gateway/policy/key_check.h
@@ -1,49 +1,41 @@
 /*
- * Key check: whose request it is, by the key of a client account that it brings.
+ * Key check: authenticates a request by the key of a client account.
  *
- * Decides: the verdict on a request that has a route.
- * Inputs: whether the configuration has client accounts, whether the route is open to all, the form
- * and text of the key, the account that has it, and whether a newer configuration is known of than
- * the one in force.
- * Rule:
- *  - Without client accounts in the configuration nobody needs a key.
- *  - A key that an account has makes the request that account's, also on a route open to all: its
- *    name goes on, and its limit holds.
- *  - On a route open to all nothing else is asked for.
- *  - Otherwise the request is denied, with one answer whatever is wrong: it does not tell whoever
- *    tries keys how near one was. The log tells the reason.
- *  - An instance that knows of a newer configuration does not deny: that one may have the key.
- * Reason: operators add keys before callers use them, so a caller with a new key may meet an
- * instance that is a second behind; denied, it would not come back.
- * Load: every request; a look-up among 10,000 keys takes about 1.4 microseconds (test_accounts.c,
- * which writes two names in that time).
+ *  - Without client accounts in the configuration no key is needed.
+ *  - A key of a known account attributes the request to that account, also on a route that is open
+ *    to all; the account's limit applies.
+ *  - A route that is open to all needs no key.
+ *  - Otherwise the request is denied. The response does not depend on the reason, which is only
+ *    logged.
+ *  - An instance that knows of a newer configuration does not deny a request, as the key may be in
+ *    it: operators add keys before callers use them, and a denied caller would not retry.
  *
- * Pure: no state, no clock.
+ * Stateless.
  */
 #pragma once
 
 #include "gateway/ports.h"
 
 typedef enum {
-    KEY_NOT_NEEDED,          /* nobody's, and served all the same */
-    KEY_KNOWN,               /* the account's */
-    KEY_CONFIGURATION_STALE, /* not known here; a newer configuration may know it */
-    KEY_ABSENT,              /* denied, like the next three */
-    KEY_AMBIGUOUS,           /* several keys */
+    KEY_NOT_NEEDED,          /* served without an account */
+    KEY_KNOWN,               /* attributed to an account */
+    KEY_CONFIGURATION_STALE, /* unknown, but a newer configuration exists */
+    KEY_ABSENT,              /* no key; denied, like the next three */
+    KEY_AMBIGUOUS,           /* more than one key */
     KEY_EMPTY,
     KEY_UNKNOWN,
 } key_verdict_t;
 
 typedef struct {
-    bool has_accounts; /* the configuration in force */
-    bool open_to_all;  /* the route */
+    bool has_accounts; /* the configuration has client accounts */
+    bool open_to_all;  /* the route needs no key */
     key_form_t form;
     str_t key;
-    bool is_known;    /* an account has it */
-    bool newer_known; /* a configuration than the one in force */
+    bool is_known;    /* an account has the key */
+    bool newer_known; /* a newer configuration than the one in force exists */
 } key_input_t;
 
 key_verdict_t key_check(const key_input_t *input);
 bool key_is_denied(key_verdict_t verdict);
-/* For the log. */
+/* Returns the name of a verdict for the log. */
 const char *key_verdict_name(key_verdict_t verdict);
--- a/gateway/policy/quarantine.c
+++ b/gateway/policy/quarantine.c
@@ -1,15 +1,12 @@
 #include "gateway/policy/quarantine.h"
 
 enum {
-    QUARANTINE_ENDS = 2, /* from this many on: one is what any request may share by chance */
+    QUARANTINE_ENDS = 2, /* one end may be a coincidence */
     MS_PER_S = 1000,
 };
 
-/* By number of ends, from QUARANTINE_ENDS on; the last holds for all above. Within the first,
- * backend servers that a wave of ends has taken come back (2 to 4 s on the users' sites). A request
- * that goes on coming three times a second ends six in 11 minutes, then one a day (worked out).
- * Chosen.
- */
+/* Terms by number of ends, from QUARANTINE_ENDS on; the last one applies to all above. Backend
+ * servers that ended together are back within the first term. */
 static const uint32_t terms_s[] = {3, 30, 120, 480, 86400};
 
 uint64_t
--- a/gateway/policy/rate_limit.c
+++ b/gateway/policy/rate_limit.c
@@ -3,7 +3,7 @@
 #define RATE_SHARE 0.95
 #define BURST_BASE 2.0
 #define BURST_S 0.1
-/* A bucket below one token would never give any. */
+/* A bucket with less than one token would never grant a permit. */
 #define BURST_MIN 1.0
 #define PROBE_PER_S 0.1
 #define MS_PER_S 1000.0
--- a/gateway/policy/rate_limit.h
+++ b/gateway/policy/rate_limit.h
@@ -1,28 +1,23 @@
 /*
- * Named limit: how a backend server gets no more requests than it says that it takes, from all
+ * Rate limit of a backend server: enforces the request rate that a backend announces, over all
  * instances together.
  *
- * Decides: how fast the owner of a backend server (membership/owner.h) gives out permits, each for
- * one send; for how many slots the backend server counts meanwhile.
- * Inputs: the limit (requests a second), the instances that the owner hears and knows, the usual
- * time of an answer (ms).
- * Rule:
- *  - Permits come from one token bucket at 0.95 of the limit, with two tokens and what the
- *    limit gives in 0.1 s as burst. A permit that has not come within 0.25 s of being asked for is
- *    not used: so what an instance that stood still was given is not sent late.
- *  - An owner that hears more than half of the instances of its region gives out all of it, one
- *    that hears fewer their part: the parts of a cut fleet together stay below one and a half times
- *    the limit.
- *  - One request in ten seconds goes out however low the limit is: it finds out.
- *  - The backend server stays where it is in the order of each object: what finds no permit goes to
- *    the next one, which has the object in memory from then on. For the region's plan it counts for
- *    the slots that its limit can keep busy.
- * Reason: at half a request a second and nine instances a token kept by each is more than the
- * bound, and a share of each is one request in twenty seconds. Requests that find no permit go
- * elsewhere at once.
- * Measured: docs/design/gateway/told-in-answers.md.
+ *  - The owner of the backend (membership/owner.h) grants a permit for each request, from a token
+ *    bucket at 0.95 of the limit. The burst is two tokens plus 0.1 s of the limit. A permit that
+ *    arrives more than 0.25 s after its request is discarded, so that a paused instance does not
+ *    send late.
+ *  - An owner that hears more than half of the instances of its region grants the whole rate; one
+ *    that hears fewer grants their part. The sides of a partition together stay below one and a
+ *    half times the limit.
+ *  - One request in ten seconds is permitted however low the limit is, to probe the backend.
+ *  - The backend keeps its rank for each object; a request without a permit goes to the next
+ *    backend at once, which then keeps the object in memory. In the region plan the backend counts
+ *    for the slots that its limit can keep busy.
  *
- * Pure: no state, no clock.
+ * A fixed share per instance does not work for low limits: at half a request per second over nine
+ * instances one token each exceeds the limit, and a share is one request in twenty seconds.
+ *
+ * Stateless.
  */
 #pragma once
 
@@ -30,17 +25,18 @@
 #include <stddef.h>
 #include <stdint.h>
 
-enum { PERMIT_LIFETIME_MS = 250 }; /* from when it is asked for; above two ways between regions */
+enum { PERMIT_LIFETIME_MS = 250 }; /* since the request; longer than a round trip between regions */
 
-/* What an owner gives out. */
+/* Rate at which an owner grants permits. */
 typedef struct {
     double per_s;
     double burst;
 } permit_rate_t;
 
-/* `heard` and `known` instances of the owner's region, itself among them. */
+/* Returns the permit rate. `heard` and `known`: instances of the owner's region, including itself.
+ */
 permit_rate_t rate_limit_permits(double limit_per_s, size_t heard, size_t known);
 
-/* The slots for which the backend server counts; `answer_ms`: usual time of its service's answers,
- * 0 if not known. */
+/* Returns the slots that the limit can keep busy, at most `slots`. `answer_ms`: usual response time
+ * of the service, 0 if not known. */
 double rate_limit_usable_slots(double limit_per_s, double slots, double answer_ms);
--- a/gateway/policy/region_plan.c
+++ b/gateway/policy/region_plan.c
@@ -3,32 +3,26 @@
 
 #include "gateway/policy/region_plan.h"
 
-/* Use of the own region's slots, at the highest demand lately seen, above which requests go
- * elsewhere. Measured with the plan as a whole (commit c2341eb: tally-lakes scale-1 0.599 to
- * 0.681), not alone. */
+/* Use of the own region's slots at peak demand above which requests go to other regions. */
 #define TARGET_USE 0.55
-/* The same for requests with large answers. At 0.55 tally-lakes fell from 4.169 to 4.105 over six
- * days, since carrying the answers between regions cost more than they earned (commit 5890d49). */
+/* The same for requests with large responses: higher, as carrying these between regions is
+ * expensive. */
 #define LARGE_USE 0.88
-/* Use of all slots assumed before any demand was measured, spread evenly over the regions: high,
- * since backends that have no object in memory yet work on each request for longer. Chosen, not
- * measured. */
+/* Use of all slots that is assumed before any demand is measured; high, since backends without
+ * objects in memory work on each request for longer. */
 #define INITIAL_USE 0.7
-/* The most of the shares that moves in a second: away from home, back home, and after slots were
- * lost. The first two are below the platform's bound on shifts (0.15 in 2 s). The last is above it:
- * we take it that a sudden loss is exempt (docs/design/gateway/overview.md, questions to the
- * users). Measured with the plan as a whole (commit c2341eb). */
+/* Bounds on the shares moved per second: away from the own region, back to it, and after a loss of
+ * slots. The first two are below the platform's bound on traffic shifts (0.15 in 2 s); the last one
+ * exceeds it, as a sudden loss is exempt. */
 #define OUTBOUND_PER_S 0.03
 #define RETURN_PER_S 0.004
 #define REBALANCE_PER_S 0.25
-/* Distance from the target below which nothing moves: a moved object is cold where it goes. Chosen,
- * not measured. */
+/* Distance from the target below which nothing moves: moved objects run cold. */
 #define DEAD_BAND 0.08
-/* Time constant, in milliseconds, with which a past peak of the demand decays. Chosen, not
- * measured. */
+/* Time constant, in milliseconds, of the decay of peak demand. */
 #define PEAK_DECAY_MS 40000.0
 /* Loss of a region's slots, as a share, that counts as sudden, and the time in milliseconds for
- * which the shares then move fast. Chosen, not measured. */
+ * which shares then move fast. */
 #define SUDDEN_LOSS 0.15
 enum { REBALANCE_MS = 4000 };
 #define MS_PER_S 1000.0
@@ -42,7 +36,7 @@
     return total;
 }
 
-/* The shares that suit room and demand. `peak` NULL: no demand is known. */
+/* Computes the target shares. `peak` NULL: no demand is known. */
 static void
 target_shares(const region_plan_input_t *input, const double *peak, size_t count, size_t own,
               double *target)
@@ -53,7 +47,7 @@
     for (size_t i = 0; i < count; i++)
         demand[i] = peak != NULL ? peak[i] : INITIAL_USE * total_slots / (double)count;
 
-    /* If all regions together are over the target, all of them are over it alike. */
+    /* If the total demand exceeds the target use, the load is spread evenly. */
     const double use = total_slots > 0 ? fmax(TARGET_USE, sum(demand, count) / total_slots) : 0;
     const double own_limit = use * input->slots[own];
     const double local = demand[own] > own_limit ? own_limit / demand[own] : 1;
@@ -81,7 +75,7 @@
     }
 }
 
-/* Keeps the highest demand of each region, decaying slowly. */
+/* Updates the decaying peak demand of each region. */
 static void
 update_peak(region_plan_t *plan, const region_plan_input_t *input, size_t region_count,
             uint64_t now_ms)
@@ -92,8 +86,7 @@
     plan->measured_peak = fmax(keep * plan->measured_peak, sum(input->demand, region_count));
 }
 
-/* Before any demand was seen the shares follow the room at once, since backends become known one by
- * one. */
+/* Sets the shares at once while no demand was seen: backends become known one by one. */
 static void
 initialize_shares(region_plan_t *plan, const region_plan_input_t *input, size_t region_count,
                   uint64_t now_ms)
@@ -108,7 +101,7 @@
     plan->updated_ms = now_ms;
 }
 
-/* Moves the shares towards the target, no faster than the limits. */
+/* Moves the shares towards the target, within the rate limits. */
 static void
 move_shares(region_plan_t *plan, const double *target, uint64_t now_ms)
 {
--- a/gateway/policy/region_plan.h
+++ b/gateway/policy/region_plan.h
@@ -1,22 +1,18 @@
 /*
- * Region plan: the share of the own region's requests that each region serves, for one service.
+ * Region plan: for one service, the share of the own region's requests that each region serves.
  *
- * Decides: the region that a request is planned for (choice.c tries it first).
- * Inputs: slots of the usable backend servers of each region, slots that each region's callers keep
- * busy, the time in milliseconds.
- * Rule:
- *  - A region sends away what exceeds 0.55 of its own slots at the highest demand lately seen, to
- *    the regions with spare slots, in proportion. If all are above that, all are above it alike.
- *  - Shares move in small steps: 3% a second away, 0.4% back, 25% for some seconds after slots
- *    were lost. Small differences are left as they are.
- *  - Before any demand was seen, shares follow the slots at once.
- *  - Requests with large answers leave only for what exceeds 0.88 of the slots.
- * Reason: an object that moves runs cold where it goes, and the platform bounds how fast a region's
- * traffic may move; a fast plan sent objects home as soon as demand fell and refused them at the
- * next rise (quiet-1: 8.4% refused; with the peak remembered 0.1%). docs/design/gateway/choice.md.
+ *  - A region sends away the demand that exceeds 0.55 of its own slots at recent peak demand, to
+ *    the regions with spare slots, in proportion. If all regions are above that, the load is spread
+ *    evenly.
+ *  - Shares move in small steps: 3% per second away, 0.4% back, 25% for some seconds after a loss
+ *    of slots. Small differences are ignored.
+ *  - Until demand is seen, shares follow the slots at once.
+ *  - Requests with large responses leave the region only for what exceeds 0.88 of the slots.
  *
- * Owns: region_plan_t, a part of its service. Relies on the topology for the number of regions;
- * time is passed in.
+ * An object that moves runs cold at first, and the platform limits how fast the traffic of a region
+ * may shift. Shares based on current instead of peak demand would move objects back and forth.
+ *
+ * See docs/design/gateway/choice.md. region_plan_t is part of its service; the time is passed in.
  */
 #pragma once
 
@@ -28,26 +24,26 @@
 } region_plan_input_t;
 
 typedef struct {
-    double share[TOPOLOGY_REGIONS_MAX]; /* of the own region's requests; sums to 1 */
+    double share[TOPOLOGY_REGIONS_MAX]; /* shares of the own region's requests; the sum is 1 */
     size_t region_count;
     size_t own; /* index of the own region */
     uint64_t updated_ms;
-    bool started;                       /* shares were set once */
-    bool demand_seen;                   /* demand was seen: from then on shares move in steps */
-    bool converging;                    /* the shares are on their way to the target */
+    bool started;                       /* the shares were initialized */
+    bool demand_seen;                   /* demand was seen; shares move in steps from then on */
+    bool converging;                    /* the shares are moving to the target */
     double slots[TOPOLOGY_REGIONS_MAX]; /* at the last update */
-    double peak[TOPOLOGY_REGIONS_MAX];  /* highest demand in slots, decaying slowly */
-    double measured_peak;        /* of all regions together, without what was assumed at first */
-    double logged_share;         /* own share when it was last logged by its owner */
-    uint64_t rebalance_until_ms; /* slots were lost shortly before */
+    double peak[TOPOLOGY_REGIONS_MAX];  /* decaying peak demand in slots */
+    double measured_peak;        /* of all regions together, without the initial assumption */
+    double logged_share;         /* own share that was logged last */
+    uint64_t rebalance_until_ms; /* shares move fast until then, after a loss of slots */
 } region_plan_t;
 
 void region_plan_update(region_plan_t *plan, const region_plan_input_t *input, size_t region_count,
                         size_t own, uint64_t now_ms);
-/* The highest demand lately measured, as a share of all slots. */
+/* Returns the recent peak demand as a share of all slots. */
 double region_plan_use(const region_plan_t *plan);
-/* The region for a point in [0, 1): a hash of the request's object. When shares move, only the
- * points between the old and the new border change their region. */
+/* Returns the region for a point in [0, 1), a hash of the request's object. When shares move, only
+ * the points between the old and the new boundary change their region. */
 size_t region_plan_pick(const region_plan_t *plan, double point);
-/* The same for a request with a large answer. */
+/* The same for a request with a large response. */
 size_t region_plan_pick_large(const region_plan_t *plan, double point);
--- a/gateway/policy/relay.c
+++ b/gateway/policy/relay.c
@@ -1,23 +1,20 @@
 #include "gateway/policy/relay.h"
 
 enum {
-    /* Bytes of a change that one instance sends to all: 26 copies are a tenth of a second of the
-     * smallest link of the users' sites, 10 Mbit/s. Chosen. */
+    /* Largest change, in bytes, that one instance sends to all others. */
     SMALL_MAX = 4096,
-    /* Instances that each one sends to in a tree: 27 are reached in three steps. Chosen. */
+    /* Children of each instance in the distribution tree. */
     CHILDREN = 3,
-    /* Bytes a second that changes of one view may take, and answers, on the smallest link of the
-     * users' sites: a fifth of its 10 Mbit/s. Chosen. */
+    /* Bytes per second for changes of one view, and for responses to pulls, on the smallest
+     * supported link: a fifth of 10 Mbit/s. */
     BYTES_PER_S = 250000,
-    LINK_DIVISOR = 5, /* the same part of a larger link */
-    /* Bytes of answers at once: a whole view is up to 200 kB (state/view_relay.c). Chosen. */
+    LINK_DIVISOR = 5, /* the same fraction of a larger link */
+    /* Burst of pull responses, in bytes; at least one whole view (state/view_relay.c). */
     ANSWERS_BURST = 256000,
     MS_PER_S = 1000,
-    /* Longest pause, so that a change of any size is in force in time: half of the shortest bound
-     * on that at the users' sites, 2 s. Chosen. */
+    /* Longest pause, which bounds the delay of a change of any size. */
     PAUSE_MAX_MS = 1000,
-    /* An instance that stays behind for this time after the senders' pause asks: changes on their
-     * way have arrived by then. Brought in with commit 2b9bd2c, not measured alone. */
+    /* An instance that still lags for this time after the senders' pause pulls the view. */
     PULL_DELAY_MS = 450,
 };
 
@@ -86,7 +83,7 @@
 {
     if (relay_is_small(bytes))
         return;
-    /* Whoever learned it from the store sends to the first ranks and to its own children. */
+    /* An instance that watches the store sends to the tree's root level and to its own children. */
     const size_t sent_at_once = bytes * (2 * CHILDREN + 1);
     lag->expected_ms = now_ms + relay_pause_ms(sent_at_once, 0);
 }
--- a/gateway/policy/relay.h
+++ b/gateway/policy/relay.h
@@ -1,24 +1,19 @@
 /*
- * Relay: who sends a change of a view on to whom, how often, and when an instance that is behind
- * asks a peer.
+ * View relay: distributes changes of a view between instances, and decides when a lagging instance
+ * pulls a view from a peer.
  *
- * Decides: the receivers of a change that an instance has learned, the pause after sending one, and
- * the patience of an instance that knows of a newer view.
- * Inputs: bytes of the change; the number of instances that are to have it; the ranks of sender and
- * receiver in an order of them that is the same everywhere; whether the change came from the store
- * or from a peer; times in milliseconds of the loop.
- * Rule: a small change goes at once from whoever learned it from the store to all. For a large one
- * the instances form a tree over the order: from the store it goes to the first ranks, and each
- * instance sends it on to its children, also where it was no news. Which of the two depends on the
- * size of the change alone, so that all instances agree. After a large change a sender pauses in
- * proportion to what it has sent, and what changes meanwhile goes out as one change; small ones do
- * not wait. An instance asks if it has not reached, within its patience, the revision that it first
- * knew it lacked; changes that come in meanwhile and are older do not put this off. Reason: an
- * instance may have a link of 10 Mbit/s. In a storm of configurations (14 kB, ten a second) one
- * that sent each version to the 26 others of its region filled its link, and fell seconds behind
- * with what it sent and with its callers' answers (docs/incidents/2026-12-02-config-storm.md).
+ *  - The instance that learned a small change from the store sends it to all others. A large change
+ *    is distributed along a tree over the instances' common order: from the store's watcher to the
+ *    first ranks, and from each instance to its children, even if the change was already known. The
+ *    size of the change alone decides which, so that all instances agree.
+ *  - After a large change the sender pauses in proportion to the bytes sent; changes that arrive
+ *    during the pause are sent as one. Small changes are sent without a pause.
+ *  - An instance pulls the view if it does not reach the first revision it knew to be missing
+ *    within a time limit. Older changes that arrive meanwhile do not extend the limit.
  *
- * Pure: no clock; the state is the caller's.
+ * Without this a burst of large changes saturates the small links of some instances (10 Mbit/s).
+ *
+ * Stateless; relay_lag_t belongs to the caller, and times are those of the loop.
  */
 #pragma once
 
@@ -27,39 +22,36 @@
 #include <stdint.h>
 
 typedef struct {
-    size_t bytes;     /* of the change */
-    size_t instances; /* that are to have it, this one too */
-    size_t own;       /* this instance's rank among them, from 0 */
-    bool from_store;  /* else a peer sent it */
+    size_t bytes;     /* size of the change */
+    size_t instances; /* instances that receive the change, including this one */
+    size_t own;       /* rank of this instance, from 0 */
+    bool from_store;  /* learned from the store, not from a peer */
 } relay_input_t;
 
-/* True if a change of that many bytes goes to all at once and without a pause. */
+/* True if a change of that size is sent to all at once and without a pause. */
 bool relay_is_small(size_t bytes);
-/* True if this instance sends the change to the one of that rank. */
+/* True if this instance sends the change to the one of rank `rank`. */
 bool relay_sends_to(const relay_input_t *input, size_t rank);
-/* How long no further large change of the same view is sent after `sent` bytes went to peers,
- * summed over the receivers, on a link of so many bytes a second; 0 if that is not known.
- * Milliseconds. */
+/* Returns the pause in milliseconds before the next large change of the same view, after `sent`
+ * bytes were sent to all receivers together. `link_bytes_per_s`: 0 if not known. */
 uint64_t relay_pause_ms(size_t sent, double link_bytes_per_s);
-/* Bytes a second, and in a burst, that answers to peers' requests for views may take on such a
- * link. */
+/* Rate and burst, in bytes, of responses to pulls on such a link. */
 double relay_response_rate(double link_bytes_per_s);
 double relay_response_burst(double link_bytes_per_s);
 
-/* What an instance knows of being behind with one view. */
+/* Lag of an instance with one view. */
 typedef struct {
-    uint64_t
-        missing_revision; /* revision that a peer had when it was first noticed, 0: not behind */
-    uint64_t since_ms;    /* loop time at which it was noticed */
-    uint64_t expected_ms; /* loop time up to which the senders' pause may last */
+    uint64_t missing_revision; /* first revision known to be missing; 0: up to date */
+    uint64_t since_ms;         /* time at which the lag was detected */
+    uint64_t expected_ms;      /* time until which the senders' pause may last */
 } relay_lag_t;
 
-/* A peer holds a newer view, as of revision `at`. */
+/* Records that a peer has a newer view, of revision `at`. */
 void relay_lag_detected(relay_lag_t *lag, uint64_t at, uint64_t now_ms);
-/* The own view is complete up to `at` now. */
+/* Records that the own view is complete up to revision `at`. */
 void relay_lag_reached(relay_lag_t *lag, uint64_t at);
-/* A peer sent a change of that many bytes, packed as it came: the next one may come after a pause.
- */
+/* Records that a peer sent a change of `bytes` bytes, as received; the next one may follow after a
+ * pause. */
 void relay_lag_change_received(relay_lag_t *lag, size_t bytes, uint64_t now_ms);
-/* True if it is time to ask a peer that holds the view as of revision `at`. */
+/* True if the view is to be pulled from a peer that has revision `at`. */
 bool relay_lag_should_pull(const relay_lag_t *lag, uint64_t at, uint64_t now_ms);
--- a/gateway/policy/removal.c
+++ b/gateway/policy/removal.c
@@ -1,14 +1,11 @@
 #include "gateway/policy/removal.h"
 
 enum {
-    /* After the store's return: live backends register again within about 2 s of it (the platform's
-     * figure), and the way here takes some milliseconds. */
+    /* Backends register again within about 2 s of the store's return. */
     OUTAGE_GRACE_MS = 2200,
-    /* Below the 2 s in which a removal must have taken effect on the strictest of the users' sites.
-     * Brought in with commit ce9d245, not measured alone. */
+    /* Must stay below the 2 s in which a removal has to take effect. */
     MASS_LOSS_GRACE_MS = 1400,
-    /* How long after a failure of the store many removals are put down to it: the next call comes
-     * within 1.2 s. Chosen, not measured. */
+    /* Time after a store failure for which mass removals are attributed to it. */
     FAILURE_MEMORY_MS = 2200,
 };
 
--- a/gateway/policy/removal.h
+++ b/gateway/policy/removal.h
@@ -1,24 +1,21 @@
 /*
- * Removal: from when on a backend server that is gone from the store's list gets no more requests.
+ * Backend removal: how long a backend server is still used after it has disappeared from the
+ * store's list.
  *
- * Decides: how long it is still used after it has disappeared, with the reason.
- * Inputs: the time since the store's return from an outage for all instances, and since it failed
- * any of them, and how many backends are listed now and were known before.
- * Rule:
- *  - Outage: used until 2.2 s after the store's return, whenever the entry went.
- *  - Mass loss: 1.4 s if more than half of the backends are gone together and the store failed an
- *    instance within the last 2.2 s.
- *  - At once in all other cases.
- * Reason: an entry that was removed on purpose must take effect at once. Entries also lapse while
- * the store is down, and live backends renew them within about 2 s of its return: what is still
- * missing then is gone, and what goes later was removed on purpose. Many entries that go together
- * near a failure point at an outage too short to be known for one; days with one of 5 s were worth
- * up to 0.042 less without that time. Granting time to single ones after trouble of single
- * instances with the store sent requests to backends that had left (commit c2341eb).
- * Also gone: a backend whose address answers for another one (attempt.c marks it departed), and one
- * that announces that it is leaving; both get no further requests from that moment on.
+ *  - After an outage of the store: until 2.2 s after its return.
+ *  - Mass loss: 1.4 s, if more than half of the backends disappeared together and the store failed
+ *    an instance within the last 2.2 s.
+ *  - Otherwise it is removed at once.
  *
- * Pure: no state, no clock.
+ * Entries that were removed on purpose must take effect at once. Entries also expire during an
+ * outage, and live backends renew them within about 2 s of the store's return. Many entries that
+ * disappear together close to a store failure indicate an outage that was too short to be detected.
+ * Single removals are not delayed, since the backends may have left.
+ *
+ * A backend whose address responds as another one (attempt.c), or that announces its shutdown, gets
+ * no further requests in any case.
+ *
+ * Stateless.
  */
 #pragma once
 
@@ -28,23 +25,23 @@
 typedef enum {
     REMOVAL_AT_ONCE,
     REMOVAL_AFTER_OUTAGE, /* the store was down for all instances */
-    REMOVAL_MASS_LOSS,    /* most backends are gone together */
-    REMOVAL_UNUSABLE,     /* its entry cannot be read any more; at once */
+    REMOVAL_MASS_LOSS,    /* most backends disappeared together */
+    REMOVAL_UNUSABLE,     /* its entry can't be parsed any more; removed at once */
 } removal_reason_t;
 
-/* A time since something that is not known to have happened. */
+/* Time since an event that is not known to have occurred. */
 #define REMOVAL_NEVER UINT64_MAX
 
-/* The store's trouble as far as an instance knows, in milliseconds. */
+/* Availability of the store as known to this instance, in milliseconds. */
 typedef struct {
-    uint64_t since_return_ms;  /* from its last outage for all instances; 0 during one */
-    uint64_t since_failure_ms; /* since it last failed any instance */
+    uint64_t since_return_ms; /* since the end of its last outage for all instances; 0 during one */
+    uint64_t since_failure_ms; /* since it last failed for any instance */
 } removal_store_t;
 
 typedef struct {
     removal_store_t store;
     size_t listed; /* backends in the newest list */
-    size_t known;  /* backends known before it */
+    size_t known;  /* backends known before that list */
 } removal_input_t;
 
 typedef struct {
--- a/gateway/policy/replicas.c
+++ b/gateway/policy/replicas.c
@@ -2,8 +2,8 @@
 
 #include "gateway/policy/replicas.h"
 
-/* Share of a backend's slots that one object may keep busy. Chosen, not measured: near the use that
- * region_plan.h aims at. */
+/* Share of a backend's slots that one object may keep busy; close to the target use of
+ * region_plan.h. */
 #define OBJECT_USE_MAX 0.5
 
 size_t
--- a/gateway/policy/retry.c
+++ b/gateway/policy/retry.c
@@ -3,9 +3,9 @@
 #include <http_parser.h>
 
 enum {
-    UNSENT_BACKENDS_MAX = 4, /* tried without having sent anything; chosen, not measured */
-    LEFT_MIN_MS = 60,        /* that a further attempt needs; chosen, not measured */
-    /* The way between regions (35 ms on the users' sites), and some for the loop. */
+    UNSENT_BACKENDS_MAX = 4, /* limit of backends tried without sending anything */
+    LEFT_MIN_MS = 60,        /* time that a further attempt needs */
+    /* Longer than the network delay between regions. */
     RESEND_AFTER_CLOSE_MS = 40,
 };
 
@@ -46,8 +46,7 @@
         return RETRY_MAY_HAVE_RUN;
     if (!input->backend_avoided)
         return RETRY_NOT_AVOIDED;
-    /* What the overdue attempt has sent counts like an ended one's: its replacement is an extra
-     * send of the service. */
+    /* The overdue attempt counts like one that has ended: its replacement is an extra send. */
     retry_input_t request = input->request;
     request.sends += input->sent;
     request.may_have_run |= input->sent;
--- a/gateway/policy/retry_budget.c
+++ b/gateway/policy/retry_budget.c
@@ -1,7 +1,6 @@
 #include "gateway/policy/retry_budget.h"
 
-/* Share of the operators' bound that is used. Chosen with the first whole path (commit 126925f),
- * not measured alone. */
+/* Share of the configured bound that is used; the windows of the instances are not aligned. */
 #define BUDGET_SHARE 0.75
 
 static void
--- a/gateway/policy/shutdown.c
+++ b/gateway/policy/shutdown.c
@@ -1,17 +1,18 @@
 #include "gateway/policy/shutdown.h"
 
 enum {
-    /* The directory's answers are kept for up to 2 s (`directory_ttl_s` in deploy/gateway.yaml). */
+    /* Callers cache directory responses for up to 2 s (`directory_ttl_s` in deploy/gateway.yaml).
+     */
     ACCEPT_MS = 2000,
-    /* Callers wait for a new connection to come up for a second (the users' protocol): one that was
-     * made just before the port closes may still carry its first request. */
+    /* Callers wait up to a second for a new connection: one that was accepted just before the port
+     * closed may still carry its first request. */
     IDLE_MAX_MS = 1000,
-    /* From then on no connection rests: a request that is sent later than 3 s after the request to
-     * stop may still run when the process has to end (the platform's figure), less a tick. */
+    /* From then on idle connections are closed at once: a request sent later than 3 s after the
+     * stop request may not finish in time. */
     IDLE_END_MS = 2900,
-    /* Two ticks of the instance (0.2 s each) longer. Chosen, not measured. */
+    /* Minimum time from the stop request to the exit. */
     LIFETIME_MIN_MS = 2400,
-    /* Left for the process to end by itself. Chosen, not measured. */
+    /* Time reserved for the process to exit by itself. */
     BEFORE_KILL_MS = 600,
 };
 
--- a/gateway/policy/slow.c
+++ b/gateway/policy/slow.c
@@ -1,8 +1,8 @@
 #include "gateway/policy/slow.h"
 
-/* Times a route's median; above the 3.3 of a run without the object in memory (commit 28ac3e3). */
+/* In medians of the route; above the 3.3 of a run without the object in memory. */
 #define SLOW_MEDIANS 3.9
-/* Times a route's latency objective, before any answer of it was seen. Chosen, not measured. */
+/* In latency objectives of the route, before any response was seen. */
 #define SLOW_OBJECTIVES 5
 
 uint32_t
--- a/gateway/policy/store_schedule.c
+++ b/gateway/policy/store_schedule.c
@@ -3,26 +3,21 @@
 #include <math.h>
 
 enum {
-    /* Instances of a region that watch the store: one may be refused in silence, which is noticed
-     * only when its watch runs out after 3 s (commit cdee74c). */
+    /* Instances of a region that watch the store; a second one covers a watch that fails unnoticed
+     * until its timeout of 3 s. */
     WATCHERS = 2,
-    /* Instances of a region that try at once where nobody seems to watch. Chosen: with a third of
-     * the instances turned away, one in 80 times all of them are. */
+    /* Instances of a region that try at once if there is no watcher; with a third of the instances
+     * refused, one of four is served in 79 of 80 cases. */
     PRIORITY_RANKS = 4,
-    TAKEOVER_STEP_MS = 250, /* one more each; a region of 98 has tried after 24 s. Chosen */
-    /* After this time all have read the store who have not had the views from peers; one in 27 of
-     * them after a third of it, a third after 0.4 s, in which the views have gone from the first
-     * readers to most. With 0.25 to 1.25 s half of 80 instances that start together served after
-     * 1.0 s instead of 0.4 s, and 827 of 3,842 requests of the two seconds after the restart were
-     * refused for good instead of 107. */
+    TAKEOVER_STEP_MS = 250, /* one more instance per step */
+    /* Longest startup delay. Few instances read the store early, so that most get the views from
+     * these readers. */
     START_SPREAD_MS = 600,
-    SEED_START_MS = 0,     /* the others ask them first */
-    PROBE_MS = 1000,       /* of each of the first ones. Chosen: a quarter of a second in all */
-    PROBE_OTHERS_MS = 500, /* between two looks of the others, all together. Chosen */
-    /* Entries of backend servers change hundreds of times a second in a deployment, and each watch
-     * is answered at once; the two watchers of a region take turns, so that a change waits for half
-     * of this. A tenth of the time in which the strictest of the users' sites has a change in
-     * force. Chosen. */
+    SEED_START_MS = 0,     /* seeds read at once, the others ask them */
+    PROBE_MS = 1000,       /* interval of each of the first instances */
+    PROBE_OTHERS_MS = 500, /* between two probes of the others together */
+    /* Pause between two watches. Entries change often in a large deployment and each change answers
+     * a watch; the two watchers of a region alternate, which halves the delay. */
     WATCH_PAUSE_MS = 400,
 };
 
--- a/gateway/policy/store_schedule.h
+++ b/gateway/policy/store_schedule.h
@@ -1,24 +1,19 @@
 /*
- * Store turns: which instances call the platform's store, and when.
+ * Store schedule: which instances call the platform's store, and when.
  *
- * Decides: whether an instance watches the store for its region; how long a started one waits for
- * its peers before it reads the store itself; when an instance takes over where nobody seems to
- * watch; how often one looks whether a store that fails it is back; how soon a watch that brought
- * changes is asked again.
- * Inputs: ranks of the instance in an order of its region that is the same on all of its instances;
- * a hash of its name; times in milliseconds.
- * Rule: two of those of a region that the store serves watch it. Where no watcher is heard of, the
- * first four of the region try at once, and one more each quarter of a second, until one is served.
- * While the store fails an instance, the first four look once a second and the others in turn, two
- * a second of the region. Started instances wait for different times, most of them long: the first
- * few read the store and the others have the views from them.
- * Reason: every call is paid for, and the rate of calls is shared by the fleet. Of 12,911 calls of
- * a day with an outage and a restart of 295 instances 3,300 were started instances that each read
- * everything, and 6,700 the watches of instances that all took themselves for the first ones of
- * their region, at the start and after the outage (counted by
- * irisstall_store_calls_by_reason_total).
+ *  - Two instances of each region that the store serves watch it. If no watcher is known, the first
+ *    four instances of the region try at once, and one more every 250 ms, until one is served.
+ *  - While the store fails an instance, the first four probe it once a second, and the others in
+ *    turn, two per second and region.
+ *  - Starting instances wait for different times, most of them long: the first few read the store,
+ *    and the others get the views from them.
  *
- * Pure: no clock, no state.
+ * Calls to the store are billed, and their rate is limited for the whole fleet. Without a schedule
+ * most calls came from instances that all read the store at start, or all took themselves for the
+ * watchers of their region.
+ *
+ * Stateless. Ranks are positions in an order of a region's instances that is the same on all of
+ * them.
  */
 #pragma once
 
@@ -26,16 +21,16 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* True if an instance of that rank among those that the store serves watches it. */
+/* True if the instance watches the store; `rank` among the instances that the store serves. */
 bool store_schedule_watches(size_t rank);
-/* Milliseconds that a started instance waits for its peers. `key`: a hash of its name; `is_seed`:
- * started instances ask it first. */
+/* Returns the time in milliseconds that a starting instance waits for its peers. `key`: hash of its
+ * name; `is_seed`: others ask it first. */
 uint64_t store_schedule_startup_delay_ms(uint64_t key, bool is_seed);
-/* True if an instance of that rank among all of its region calls the store where no watcher has
- * been heard of for so long. */
+/* True if the instance calls the store after no watcher was known for `unwatched_ms`; `rank` among
+ * all instances of the region. */
 bool store_schedule_takes_over(size_t rank, uint64_t unwatched_ms);
-/* Milliseconds between two looks of such an instance at a store that fails it, in a region of so
- * many. */
+/* Returns the interval in milliseconds between probes of a store that fails the instance, in a
+ * region of `instances`. */
 uint64_t store_schedule_probe_interval_ms(size_t rank, size_t instances);
-/* Milliseconds after a watch that brought changes until the next one. */
+/* Returns the pause in milliseconds after a watch that returned changes. */
 uint64_t store_schedule_watch_pause_ms(void);
--- a/gateway/policy/subset.c
+++ b/gateway/policy/subset.c
@@ -3,16 +3,13 @@
 
 #include "gateway/policy/subset.h"
 
-/* The least instances size: one may be lost at any moment. Chosen; 2, 3 and 5 of equal instances
- * measured 0.645, 0.652, 0.641 on a grown site (round 3). */
+/* Minimum size of the subset: one instance may fail at any time. */
 enum { SUBSET_MIN = 2 };
-/* Use of link and processor that is planned for, so that a burst of twice the traffic still fits.
- * Chosen, not measured. */
+/* Planned use of link and CPU, which leaves capacity for bursts of twice the traffic. */
 #define USE_MAX 0.4
-/* Share of the links' sum that the named instances must be able to carry before traffic is known.
- * Chosen, not measured. */
+/* Share of the total link capacity that the subset must carry before traffic is known. */
 #define IDLE_LINK_SHARE 0.5
-/* Processor time of a request in core seconds (docs/PERFORMANCE.md: 0.18 ms). */
+/* CPU time of a request in seconds. */
 #define REQUEST_CORE_S 0.0002
 
 static int
@@ -21,7 +18,7 @@
     return (a > b) - (a < b);
 }
 
-/* Stronger first. */
+/* Orders by capacity, highest first. */
 static int
 compare(const void *a, const void *b)
 {
@@ -41,7 +38,7 @@
     double link_bytes_per_s;
     double requests_per_s;
     double bytes_per_s;
-    bool all_known; /* each says what it was given */
+    bool all_known; /* the capacity of every instance is known */
 } totals_t;
 
 static totals_t
@@ -57,7 +54,8 @@
     return totals;
 }
 
-/* True if that many carry everything in equal parts. `weakest` is the last of them. */
+/* True if an equal part of the traffic fits each instance of the subset. `weakest` is the last one.
+ */
 static bool
 can_carry(const totals_t *totals, const subset_instance_t *weakest, size_t size)
 {
--- a/gateway/policy/traffic_split.h
+++ b/gateway/policy/traffic_split.h
@@ -1,15 +1,11 @@
 /*
- * Traffic split: which service a route's request goes to.
+ * Traffic split: picks one of a route's target services, in proportion to their weights.
  *
- * Decides: one of the route's targets, by their weights.
- * Input: the route, and a random point in [0, 1).
- * Rule: a target's share of the requests is its weight over the sum of the weights.
- *
- * Pure: no state; the caller draws the point.
+ * Stateless; `point` is random in [0, 1).
  */
 #pragma once
 
 #include "gateway/state/config.h"
 
-/* The name of the service; it lives as long as the route. */
+/* Returns the name of the service, which is valid as long as the route. */
 str_t traffic_split_pick(const config_route_t *route, double point);
