--- a/gateway/policy/account_share.c
+++ b/gateway/policy/account_share.c
@@ -21,7 +21,7 @@
  * accounts may send a few requests at once. */
 #define TOLERANCE 4.0
 /* Part of the bucket's level that is added to the total share per second. */
-#define ROOM_PER_S 0.5
+#define LEVEL_PER_S 0.5
 /* Bounds on the sum of all shares, as parts of the limit's rate. */
 #define TOTAL_MIN 0.3
 #define TOTAL_MAX 1.5
@@ -39,27 +39,27 @@
 static double
 release_threshold(const account_share_input_t *input)
 {
-    const bool overloaded = input->asked_per_s > OVERLOAD_FACTOR * input->rate_per_s;
+    const bool overloaded = input->demand_per_s > OVERLOAD_FACTOR * input->rate_per_s;
     return (overloaded ? RELEASE_ABOVE_OVERLOADED : RELEASE_ABOVE) * input->depth;
 }
 
 bool
 account_share_limits(const account_share_input_t *input)
 {
-    if (input->asked_known && input->asked_per_s < IDLE_FRACTION * input->rate_per_s)
+    if (input->demand_known && input->demand_per_s < IDLE_FRACTION * input->rate_per_s)
         return false;
     if (input->limited) {
-        const double excess = (input->asked_per_s - input->rate_per_s) * REACTION_S;
-        return input->room <
+        const double excess = (input->demand_per_s - input->rate_per_s) * REACTION_S;
+        return input->level <
                fmin(fmax(release_threshold(input), excess), FULL_FRACTION * input->depth);
     }
-    const double excess = (input->used_per_s - input->rate_per_s) * REACTION_S;
-    return input->room < fmax(LIMIT_BELOW * input->depth, excess) - TOLERANCE;
+    const double excess = (input->admitted_per_s - input->rate_per_s) * REACTION_S;
+    return input->level < fmax(LIMIT_BELOW * input->depth, excess) - TOLERANCE;
 }
 
 double
 account_share_total(const account_share_input_t *input)
 {
-    const double total = input->rate_per_s + ROOM_PER_S * input->room;
+    const double total = input->rate_per_s + LEVEL_PER_S * input->level;
     return fmin(fmax(total, TOTAL_MIN * input->rate_per_s), TOTAL_MAX * input->rate_per_s);
 }
--- a/gateway/policy/account_share.h
+++ b/gateway/policy/account_share.h
@@ -25,13 +25,13 @@
 #include <stdbool.h>
 
 typedef struct {
-    double rate_per_s;  /* limit of the account */
-    double depth;       /* depth of the bucket, from account_share_depth() */
-    double room;        /* level of the bucket; negative if overdrawn */
-    double used_per_s;  /* rate of admitted requests */
-    double asked_per_s; /* rate of all requests, including refused ones */
-    bool asked_known;   /* asked_per_s is reliable, or the bucket was nearly full before */
-    bool limited;       /* the account is limited at present */
+    double rate_per_s;     /* limit of the account */
+    double depth;          /* depth of the bucket, from account_share_depth() */
+    double level;          /* level of the bucket; negative if overdrawn */
+    double admitted_per_s; /* rate of admitted requests */
+    double demand_per_s;   /* rate of all requests, including refused ones */
+    bool demand_known;     /* demand_per_s is reliable, or the bucket was nearly full before */
+    bool limited;          /* the account is limited at present */
 } account_share_input_t;
 
 /* Returns the depth of the bucket for a limit. */
--- a/gateway/state/account_ledger.c
+++ b/gateway/state/account_ledger.c
@@ -285,11 +285,11 @@
     return (account_share_input_t){
         .rate_per_s = ledger->room.rate,
         .depth = ledger->room.burst * account_lent_seen_part(ledger),
-        .room = bucket_tokens(&ledger->room, now_ms),
-        .used_per_s = event_rate_per_s(&ledger->used_rate, USED_TAU_MS, now_ms),
-        .asked_per_s = ledger_asked_everywhere(ledger, now_ms),
-        .asked_known = now_ms - ledger->begun_ms > LEARNING_MS ||
-                       ledger->inherited.room > PLENTY * ledger->room.burst,
+        .level = bucket_tokens(&ledger->room, now_ms),
+        .admitted_per_s = event_rate_per_s(&ledger->used_rate, USED_TAU_MS, now_ms),
+        .demand_per_s = ledger_asked_everywhere(ledger, now_ms),
+        .demand_known = now_ms - ledger->begun_ms > LEARNING_MS ||
+                        ledger->inherited.room > PLENTY * ledger->room.burst,
         .limited = ledger->limited,
     };
 }
@@ -301,7 +301,7 @@
     account_share_input_t input = share_input(ledger, now_ms);
     const bool before = ledger->limited;
     if (before)
-        input.room -= account_lent_pending(ledger, now_ms);
+        input.level -= account_lent_pending(ledger, now_ms);
     ledger->limited = account_share_limits(&input);
     return ledger->limited != before;
 }
@@ -312,7 +312,7 @@
 {
     const double total = ledger->limited ? account_share_total(input) : input->rate_per_s;
     const double own = ledger_asked_per_s(ledger, now_ms);
-    const double part = input->asked_per_s > 0 ? own / input->asked_per_s * total : 0;
+    const double part = input->demand_per_s > 0 ? own / input->demand_per_s * total : 0;
     const bool bound = ledger->inherited.owner != 0 && ledger->inherited.others_unheard;
     return bound ? fmin(part, ledger->inherited.region_per_s) : part;
 }
@@ -356,7 +356,7 @@
         .limited = ledger->limited,
         .share_per_s = user != NULL ? part_of(ledger, user, now_ms) * heard_per_s : 0,
         .region_per_s = region_per_s,
-        .room = input.room,
+        .room = input.level,
     };
     /* Until it reports again, it may have either. */
     if (user != NULL)
