--- a/test/gateway/limit_model.c
+++ b/test/gateway/limit_model.c
@@ -11,15 +11,15 @@
 
 enum {
     REGIONS = 3,
-    LOCAL_DELAY_MS = 3,   /* one way in a region, with the turns of two loops */
+    LOCAL_DELAY_MS = 3,   /* one-way delay within a region, including two loops */
     REMOTE_DELAY_MS = 37, /* between regions */
     RUN_MS = 60000,
-    FAULT_START_MS = 20000, /* begins */
-    FAULT_MS = 5000,        /* an instance stands still, or is down, for so long */
+    FAULT_START_MS = 20000, /* start of the fault */
+    FAULT_MS = 5000,        /* length of the fault */
     LOST_MS = 1800,         /* silence after which an instance counts as lost */
     PERMIT_TIMEOUT_MS = 500,
     WINDOW_MS = 4000,
-    HORIZON_MS = 8192, /* an event is at most so far ahead */
+    HORIZON_MS = 8192, /* longest delay of an event */
     COLD_SENDERS_MAX = 512,
 };
 
@@ -32,7 +32,7 @@
 
 typedef struct {
     event_kind_t kind;
-    unsigned from; /* who asks, or sends */
+    unsigned from; /* the requesting or sending instance */
     unsigned to;
     uint64_t requested_ms;
     bool granted;
@@ -47,7 +47,7 @@
 
 typedef struct {
     uint64_t permit_from_ms;
-    uint64_t pending_since_ms; /* 0: no answer is missing */
+    uint64_t pending_since_ms; /* 0: no response is pending */
     bucket_t own;              /* LIMIT_STRATEGY_EVEN, LIMIT_STRATEGY_SENDERS */
     permits_t permits;
 } node_t;
@@ -58,7 +58,7 @@
     node_t *nodes;
     events_t ring[HORIZON_MS];
     uint64_t now_ms;
-    unsigned *arrivals; /* by millisecond */
+    unsigned *arrivals; /* per millisecond */
     uint64_t messages;
 } model_t;
 
@@ -75,7 +75,7 @@
                                                model->now_ms < FAULT_START_MS + FAULT_MS);
 }
 
-/* Half of each region is on the other side, the owner not. */
+/* Half of each region, without the owner, is on the other side of the partition. */
 static bool
 is_partitioned(const model_t *model, unsigned index)
 {
@@ -104,7 +104,7 @@
     return !fault_active(model) || is_partitioned(model, left) == is_partitioned(model, right);
 }
 
-/* As `self` sees it by heartbeats. */
+/* Liveness as seen by `self` from heartbeats. */
 static bool
 seems_alive(const model_t *model, unsigned self, unsigned other)
 {
@@ -113,7 +113,7 @@
     return can_reach(model, self, other) && !is_paused(model, other) && !is_down(model, other);
 }
 
-/* The owner as `self` sees it: the first of the backend server's region. */
+/* The owner as seen by `self`: the first live instance of the backend server's region. */
 static unsigned
 owner_of(const model_t *model, unsigned self)
 {
@@ -141,7 +141,7 @@
     return region_of(from) == region_of(to) ? LOCAL_DELAY_MS : REMOTE_DELAY_MS;
 }
 
-/* A request goes out; the backend server is of the first region. */
+/* Sends a request to the backend server, which is in the first region. */
 static void
 send_request(model_t *model, unsigned from)
 {
@@ -205,7 +205,7 @@
     if (!can_reach(model, event->from, event->to) || is_down(model, event->to) ||
         owner_of(model, event->to) != event->to)
         return;
-    if (is_paused(model, event->to)) { /* read when it goes on */
+    if (is_paused(model, event->to)) { /* read after the pause */
         post(model, FAULT_START_MS + FAULT_MS, event);
         return;
     }
@@ -254,7 +254,7 @@
     }
 }
 
-/* ---- the other ways ---- */
+/* ---- alternative strategies ---- */
 
 static void
 init_buckets(model_t *model)
@@ -290,7 +290,7 @@
         send_request(model, index);
 }
 
-/* ---- the run ---- */
+/* ---- simulation ---- */
 
 static unsigned
 pick_caller(model_t *model)
@@ -298,7 +298,8 @@
     const limit_conf_t *conf = &model->conf;
     const unsigned callers =
         conf->caller_instances > 0 ? conf->caller_instances * REGIONS : conf->instances;
-    const unsigned from = conf->instances - callers; /* not at the owner, unless at all */
+    /* Without the owner, unless all get requests. */
+    const unsigned from = conf->instances - callers;
     return from + (unsigned)(rng_unit(&model->rng) * callers);
 }
 
@@ -307,13 +308,13 @@
 {
     const double per_ms = model->conf.limit_per_s * model->conf.demand / 1000;
     double left = -log(1 - rng_unit(&model->rng));
-    while (left < per_ms) { /* a Poisson process */
+    while (left < per_ms) { /* Poisson process */
         on_request(model, pick_caller(model));
         left -= log(1 - rng_unit(&model->rng));
     }
 }
 
-/* What has started again knows of no permits that were given out. */
+/* A restarted instance does not know of the permits granted before. */
 static void
 reset_restarted(model_t *model)
 {
--- a/test/gateway/test_admission.c
+++ b/test/gateway/test_admission.c
@@ -1,4 +1,4 @@
-/* Admission: room, wait, callers that came back. */
+/* Admission control: free slots, queueing, retried requests. */
 #include "base/xmalloc.h"
 #include "gateway/policy/admission.h"
 #include "test/suites.h"
@@ -10,10 +10,10 @@
         double lost_ms;
         admission_t expected;
     } rows[] = {
-        {9, 0, ADMIT_NOW},   /* the last slot */
-        {9, 400, ADMIT_NOW}, /* also for a caller that came back */
-        {10, 0, ADMIT_NOT},  /* full, and working takes as long as the objective */
-        {9.9, 0, ADMIT_NOT}, /* full as far as is known */
+        {9, 0, ADMIT_NOW},   /* the last free slot */
+        {9, 400, ADMIT_NOW}, /* also for a retried request */
+        {10, 0, ADMIT_NOT},  /* no slot, and the service time equals the objective */
+        {9.9, 0, ADMIT_NOT}, /* less than one slot left */
     };
     for (size_t i = 0; i < ALEN(rows); i++) {
         const admission_request_t request = {
@@ -31,12 +31,12 @@
         double work_ms;
         admission_t expected;
     } rows[] = {
-        {14, 200, ADMIT_AFTER_WAIT}, /* 5 are ahead of a slot: expected after 290 ms */
-        {14, 275, ADMIT_AFTER_WAIT}, /* after 399 ms */
-        {14, 277, ADMIT_NOT},        /* after 402 ms: too late */
-        {19, 10, ADMIT_AFTER_WAIT},  /* 2 requests a slot */
-        {20, 10, ADMIT_NOT},         /* in time, but 2.1 requests a slot */
-        {14, 0, ADMIT_AFTER_WAIT},   /* working time not known yet */
+        {14, 200, ADMIT_AFTER_WAIT}, /* 5 requests ahead: expected after 290 ms */
+        {14, 275, ADMIT_AFTER_WAIT}, /* expected after 399 ms */
+        {14, 277, ADMIT_NOT},        /* expected after 402 ms: too late */
+        {19, 10, ADMIT_AFTER_WAIT},  /* 2 requests per slot */
+        {20, 10, ADMIT_NOT},         /* in time, but 2.1 requests per slot */
+        {14, 0, ADMIT_AFTER_WAIT},   /* service time not known */
     };
     const admission_request_t request = {.objective_ms = 400, .left_ms = 2000};
     for (size_t i = 0; i < ALEN(rows); i++) {
@@ -49,7 +49,7 @@
 
 START_TEST(queue_wait_uses_the_route_median)
 {
-    /* The backend's average is that of runs with and without the object in memory. */
+    /* The backend's average includes runs without the object in memory. */
     const admission_backend_t backend = {.load = 14, .slots = 10, .work_ms = 300};
     admission_request_t request = {.objective_ms = 400, .left_ms = 2000};
     ck_assert_int_eq(admission_decide(&request, &backend), ADMIT_NOT);
@@ -77,9 +77,9 @@
         uint32_t left_ms;
         admission_t expected;
     } rows[] = {
-        {11, 2000, ADMIT_AFTER_WAIT}, /* 1.2 requests a slot: one is about to be free */
-        {12, 2000, ADMIT_NOT},        /* a longer queue is for those that can be in time */
-        {11, 150, ADMIT_NOT},         /* it would have left before its answer */
+        {11, 2000, ADMIT_AFTER_WAIT}, /* 1.2 requests per slot: one is about to be free */
+        {12, 2000, ADMIT_NOT},        /* longer queues are for requests that can be in time */
+        {11, 150, ADMIT_NOT},         /* the caller gives up before the response */
     };
     for (size_t i = 0; i < ALEN(rows); i++) {
         const admission_request_t request = {
--- a/test/gateway/test_backend_backoff.c
+++ b/test/gateway/test_backend_backoff.c
@@ -1,15 +1,6 @@
 /*
- * A backend server that turns requests away and asks for rest.
- *
- * What users saw: for nine seconds a tenth of the orders and look-ups was not served. Five backend
- * servers had turned instances away with the wish to be left alone for 3 s, and were asked again at
- * once, ten times and five by one instance in that time; 241 requests went to one of them to be
- * turned away. The cause: a request that was turned away was certainly not run, and no more than
- * that was read of the answer; its backend server stayed the first choice for its objects, since
- * nothing ran there. Repeats were spent on it until the budget for them was used up.
- *
- * Evidence: what was turned away was sent there as a first choice or to queue; all that came was
- * turned away, second for second. In this test one instance sends 20 in 1 s of rest.
+ * Backoff of a backend server that rejects requests with Retry-After. Without it an instance keeps
+ * sending requests to that backend and spends the service's retry budget on them.
  */
 #include <stdlib.h>
 
@@ -20,7 +11,7 @@
 
 enum { BACKENDS = 4, BACKOFF_MS = 1500, WARMUP_MS = 500, STRAY_ARRIVALS_MAX = 2 };
 
-/* It turns away whatever comes from now on. */
+/* Makes the backend reject all requests from now on; returns the time of the first rejection. */
 static uint64_t
 reject_with_retry_after(const instances_t *fleet, scripted_t *backend, const char *says)
 {
@@ -44,14 +35,14 @@
 }
 END_TEST
 
-/* Served again, by one request at first. */
+/* A single probe is sent first. */
 START_TEST(one_request_probes_after_backoff)
 {
     const instances_t fleet = new_instances(BACKENDS, 1);
     scripted_t *rejecting = &fleet.site->backends[0];
     ask_for(&fleet, 1, WARMUP_MS);
     const uint64_t asked_ms = reject_with_retry_after(&fleet, rejecting, "Retry-After: 0.6\r\n");
-    rejecting->behaviour = DOES_HOLD; /* the one that finds out gets no answer for a while */
+    rejecting->behaviour = DOES_HOLD; /* the probe gets no response for a while */
     ask_for(&fleet, 1, 1000);
     ck_assert_uint_eq(arrivals_between(rejecting, asked_ms + 550, UINT64_MAX), 1);
     rejecting->behaviour = DOES_ANSWER;
@@ -62,7 +53,7 @@
 }
 END_TEST
 
-/* Those that come together at its end do not go there together. */
+/* Requests that arrive together after the delay do not all go there. */
 START_TEST(concurrent_requests_send_one_probe)
 {
     enum { CONCURRENT = 4 };
@@ -105,7 +96,7 @@
         ck_assert(strtod(reply.retry_after, NULL) < 1.2);
     }
     ck_assert_uint_eq(site->backends[0].arrival_count + site->backends[1].arrival_count, before);
-    /* The time that was told is true. */
+    /* The backend is available after the time given in Retry-After. */
     const reply_t reply = ask_through(&fleet, 0, "/safe/x");
     all_do(site, DOES_ANSWER);
     pass(site, (uint64_t)(1000 * strtod(reply.retry_after, NULL)));
@@ -139,20 +130,20 @@
 {
     backoff_t backoff = {0};
     backoff_request(&backoff, 1000, 1000);
-    backoff_attempt_ended(&backoff, 900, true); /* an answer to a request from before */
+    backoff_attempt_ended(&backoff, 900, true); /* response to a request sent before the backoff */
     ck_assert(!backoff_allows(&backoff, 1999));
     backoff_attempt_started(&backoff);
-    ck_assert(!backoff_allows(&backoff, 2000));   /* one is under way */
-    backoff_attempt_ended(&backoff, 2000, false); /* its caller has left */
+    ck_assert(!backoff_allows(&backoff, 2000));   /* a probe is in progress */
+    backoff_attempt_ended(&backoff, 2000, false); /* the caller has left */
     ck_assert(backoff_allows(&backoff, 2100));
     backoff_attempt_started(&backoff);
-    backoff_request(&backoff, 1000, 2200); /* it was turned away */
+    backoff_request(&backoff, 1000, 2200); /* the probe was rejected */
     backoff_attempt_ended(&backoff, 2100, false);
     ck_assert(!backoff_allows(&backoff, 3199));
     backoff_attempt_started(&backoff);
     backoff_attempt_ended(&backoff, 3300, true);
     backoff_attempt_started(&backoff);
-    ck_assert(backoff_allows(&backoff, 3301)); /* any number of them */
+    ck_assert(backoff_allows(&backoff, 3301)); /* no limit any more */
 }
 END_TEST
 
--- a/test/gateway/test_breaker.c
+++ b/test/gateway/test_breaker.c
@@ -45,8 +45,7 @@
 }
 END_TEST
 
-/* Found by reading: a probe that was refused, or whose caller left, was never followed by another.
- */
+/* A probe that was refused, or whose caller left, must be followed by another. */
 START_TEST(inconclusive_probe_allows_another)
 {
     backend_t *backend = suspended_backend();
@@ -54,7 +53,7 @@
     ck_assert(!backend_is_usable(backend, 1300));
     backend_attempt_finished(backend);
     ck_assert(backend_is_usable(backend, 1300));
-    /* Not before it has ended, whatever else ends there. */
+    /* Not before the probe has ended, whatever other request ends. */
     backend_attempt_started(backend);
     backend_attempt_started(backend);
     backend_attempt_finished(backend);
--- a/test/gateway/test_choice.c
+++ b/test/gateway/test_choice.c
@@ -1,4 +1,4 @@
-/* Choice of a backend server, with admission, avoided and cold backends. */
+/* Backend selection with admission, avoided and cold backends. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -115,21 +115,21 @@
 
 START_TEST(choice_stays_with_the_backend_holding_the_object)
 {
-    /* Objects are not spread over more backends when these are busy: they would run cold there. */
+    /* Busy backends do not spread objects over more backends, where they would run cold. */
     choice_fixture_t *fixture = new_choice();
     static const char *const ids[] = {"u1", "u2", "u3", "u4", "u5", "u6"};
     for (size_t i = 0; i < ALEN(ids); i++)
         add_backend(fixture, ids[i], "a1")->work_ms = 200;
     choice_reason_t reason;
     backend_t *first = select_backend(&fixture->input, &reason);
-    /* With a short queue the request waits there. */
+    /* With a short queue the request waits at the backend. */
     first->in_flight = 4;
     ck_assert_ptr_eq(select_backend(&fixture->input, &reason), first);
     ck_assert_int_eq(reason, CHOICE_QUEUED);
     first->in_flight = 7;
     ck_assert_ptr_null(select_backend(&fixture->input, &reason));
     ck_assert_int_eq(reason, CHOICE_FULL);
-    /* One that may not be used is another matter: the next one keeps its objects. */
+    /* An unusable backend is replaced by the next one. */
     first->info.leaving = true;
     const backend_t *second = select_backend(&fixture->input, &reason);
     ck_assert_ptr_ne(second, first);
@@ -147,14 +147,14 @@
     choice_reason_t reason;
     backend_t *first = select_backend(&fixture->input, &reason);
     first->in_flight = 1;
-    fixture->input.object_demand = 2; /* half of the slots of one */
+    fixture->input.object_demand = 2; /* half of the slots of a backend */
     ck_assert_ptr_eq(select_backend(&fixture->input, &reason), first);
     fixture->input.object_demand = 3;
     backend_t *second = select_backend(&fixture->input, &reason);
     ck_assert_ptr_ne(second, first);
     second->in_flight = 2;
     ck_assert_ptr_eq(select_backend(&fixture->input, &reason), first);
-    /* Only as many as it needs. */
+    /* Only as many replicas as needed. */
     first->in_flight = 7;
     second->in_flight = 7;
     ck_assert_ptr_null(select_backend(&fixture->input, &reason));
@@ -199,7 +199,7 @@
 
 START_TEST(choice_without_object_uses_any_free_backend)
 {
-    /* Nothing is kept in memory for such requests: whoever has room serves them. */
+    /* Any backend with a free slot serves requests without an object. */
     choice_fixture_t *fixture = new_choice();
     static const char *const ids[] = {"u1", "u2", "u3", "u4", "u5", "u6"};
     for (size_t i = 0; i < ALEN(ids); i++)
@@ -244,7 +244,7 @@
     }
     own->in_flight = 20;
     ck_assert_str_eq(select_backend(&fixture->input, &reason)->info.id.ptr, "u1");
-    /* Busy is not gone: they do not leave the region for that, but they do if nobody is there. */
+    /* Large responses leave the region only if it has no usable backend, not if all are full. */
     fixture->backends.items[0]->in_flight = 20;
     ck_assert_ptr_null(select_backend(&fixture->input, &reason));
     fixture->backends.items[0]->info.leaving = true;
@@ -270,8 +270,8 @@
         away += select_backend(&fixture->input, &reason) == remote;
     }
     ck_assert(away > 550 && away < 650);
-    /* A full backend in the planned region is no reason to go elsewhere; none there is, and then
-     * the own region comes first. */
+    /* A full backend in the planned region is no reason to leave it. Without a usable backend
+     * there, the own region comes first. */
     fixture->input.object = UINT64_MAX;
     remote->in_flight = 20;
     ck_assert_ptr_null(select_backend(&fixture->input, &reason));
@@ -304,9 +304,9 @@
 }
 END_TEST
 
-/* Regions a (own), b and c; the plan keeps all at home. What is bound to b and c by its account
- * goes to both, by their slots; what route and account together leave no region for goes nowhere.
- */
+/* Regions a (own), b and c; the plan keeps all requests at home. Requests that the account
+ * restricts to b and c go to both, by their slots; if route and account allow no common region,
+ * they go nowhere. */
 START_TEST(choice_spreads_requests_over_allowed_regions)
 {
     choice_fixture_t *fixture = new_choice();
@@ -357,7 +357,7 @@
     fail_often(first, 5000);
     health_record(&first->health, true, 5000);
     fixture->plan.slots[0] = 16;
-    fixture->plan.measured_peak = 8; /* three quarters of the slots can carry it */
+    fixture->plan.measured_peak = 8; /* three quarters of the slots can carry the demand */
     ck_assert_ptr_ne(select_backend(&fixture->input, &reason), first);
     fixture->plan.measured_peak = 13;
     ck_assert_ptr_eq(select_backend(&fixture->input, &reason), first);
@@ -373,18 +373,18 @@
         add_backend(fixture, ids[i], "a1");
     choice_reason_t reason;
     backend_t *first = select_backend(&fixture->input, &reason);
-    /* One failure, or two, do not move its objects: they would run cold elsewhere. */
+    /* A failure or two do not move the backend's objects. */
     health_record(&first->health, true, 5000);
     health_record(&first->health, true, 5000);
     ck_assert_ptr_eq(select_backend(&fixture->input, &reason), first);
     fail_often(first, 5000);
     ck_assert_ptr_ne(select_backend(&fixture->input, &reason), first);
-    /* Tried again after a while. */
+    /* The backend is tried again after a while. */
     fixture->input.now_ms = 7000;
     ck_assert_ptr_ne(select_backend(&fixture->input, &reason), first);
     fixture->input.now_ms = 13000;
     ck_assert_ptr_eq(select_backend(&fixture->input, &reason), first);
-    /* Where most fail, all are used as usual. */
+    /* If most backends fail, all are used as usual. */
     fixture->input.now_ms = 13100;
     for (size_t i = 0; i < 3; i++)
         fail_often(fixture->backends.items[i], 13100);
@@ -408,7 +408,7 @@
         fixture->input.object = object * 0x9e3779b97f4a7c15ULL;
         ck_assert_ptr_eq(select_backend(&fixture->input, &reason), idle);
     }
-    /* A cold one only if there is no other. */
+    /* Cold backends are used only if there is no other. */
     idle->cold_until_ms = fixture->input.now_ms + 1000;
     ck_assert_ptr_ne(select_backend(&fixture->input, &reason), idle);
     free_choice(fixture);
--- a/test/gateway/test_cold_start.c
+++ b/test/gateway/test_cold_start.c
@@ -14,7 +14,7 @@
         size_t split_senders = 0;
         for (size_t i = 0; i < PEERS; i++) {
             senders += cold_start_is_sender(backend * 31, 1, all[i].key, all, PEERS);
-            /* Half of the instances have never heard of the last four. */
+            /* Half of the instances don't know the last four. */
             split_senders +=
                 cold_start_is_sender(backend * 31, 1, all[i].key, all, i < 5 ? 5 : PEERS);
         }
@@ -27,7 +27,7 @@
 
 START_TEST(cold_rate_of_all_senders_is_bounded)
 {
-    /* 3.5 a second, counted over any second and all senders: at most 3.5 x 1.5 + 5. */
+    /* 3.5 per second, over any second and all senders: at most 3.5 x 1.5 + 5. */
     enum { STEP_MS = 10, SPAN_MS = 4000 };
     unsigned sent[SPAN_MS / STEP_MS] = {0};
     for (int sender = 0; sender < COLD_SENDERS; sender++) {
--- a/test/gateway/test_final_answer.c
+++ b/test/gateway/test_final_answer.c
@@ -1,4 +1,4 @@
-/* What a caller is told, and when: deadline, slow answers, final answer. */
+/* Responses made by the gateway: deadline, slow attempts, final answer. */
 #include "base/xmalloc.h"
 #include "gateway/policy/deadline.h"
 #include "gateway/policy/final_answer.h"
@@ -34,7 +34,7 @@
 }
 END_TEST
 
-/* A caller that may come back once finds an instance that serves. */
+/* A caller that retries only once must find an instance that serves. */
 START_TEST(starting_instance_announces_when_it_serves)
 {
     enum { SERVES_MS = 800 };
@@ -43,7 +43,7 @@
         ck_assert_int_eq(answer.status, 503);
         ck_assert_uint_ge(uptime_ms + answer.retry_after_ms, SERVES_MS);
         ck_assert_uint_le(answer.retry_after_ms, SERVES_MS);
-        /* Other refusals are none of the start's. */
+        /* Other refusals do not depend on the uptime. */
         ck_assert_uint_eq(final_answer(OUTCOME_NO_CAPACITY, false, uptime_ms).retry_after_ms, 400);
     }
 }
@@ -112,10 +112,10 @@
 
 START_TEST(slow_threshold_follows_median_and_objective)
 {
-    ck_assert_uint_eq(slow_after_ms(400, 0), 2000);  /* nothing known: five objectives */
+    ck_assert_uint_eq(slow_after_ms(400, 0), 2000);  /* nothing known: 5 objectives */
     ck_assert_uint_eq(slow_after_ms(400, 50), 400);  /* never below the objective */
     ck_assert_uint_eq(slow_after_ms(400, 200), 780); /* 3.9 medians */
-    ck_assert_uint_eq(slow_after_ms(0, 0), 0);       /* no limit */
+    ck_assert_uint_eq(slow_after_ms(0, 0), 0);       /* no objective */
     slow_input_t input = {.slow_ms = 780, .elapsed_ms = 780};
     ck_assert(slow_counts_as_failure(&input));
     input.queued = true;
--- a/test/gateway/test_limit_model.c
+++ b/test/gateway/test_limit_model.c
@@ -1,4 +1,4 @@
-/* A limit that a backend server names, over fleets of three sizes, in simulated time. */
+/* Rate limits announced by a backend server, over fleets of three sizes, in simulated time. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -13,7 +13,7 @@
 static const unsigned sizes[] = {9, 67, 300};
 static const double limits[] = {0.5, 1.3, 5, 20};
 
-/* One and a half times what the limit allows, and five. */
+/* One and a half times the limit, plus five requests. */
 static double
 bound_of(double limit_per_s)
 {
@@ -33,7 +33,7 @@
                bound_of(conf->limit_per_s), result->utilization, result->messages_per_s);
 }
 
-/* Runs it with some seeds; returns the worst of the two figures. */
+/* Runs the model with several seeds; returns the worst of both results. */
 static limit_result_t
 run(limit_conf_t conf)
 {
@@ -49,7 +49,7 @@
     return worst;
 }
 
-/* Every size, limit and place of the callers. */
+/* Covers every fleet size, limit and distribution of callers. */
 static void
 check_fault(limit_fault_t fault)
 {
@@ -77,7 +77,7 @@
 }
 END_TEST
 
-/* Not judged: what they give stands in the design note. */
+/* The results are printed, not checked. */
 START_TEST(alternative_strategies_run)
 {
     for (size_t i = 0; i < ALEN(sizes) * ALEN(limits) * 4; i++) {
@@ -93,7 +93,7 @@
 }
 END_TEST
 
-/* The same for the way that keeps the limits of client accounts: in 5 s, with a burst of two. */
+/* The same for the strategy of client account limits: over 5 s, with a burst of two. */
 START_TEST(account_limit_strategy_runs)
 {
     enum { SPAN_S = 5, BURST = 2 };
--- a/test/gateway/test_quarantine.c
+++ b/test/gateway/test_quarantine.c
@@ -1,15 +1,6 @@
 /*
- * A request that ends the backend servers that run it.
- *
- * What users saw: one caller repeated one look-up some three times a second, at any instance. Each
- * try ended two backend servers, as it was sent on when the first had gone; 45 ended, and three in
- * four look-ups and orders were late, refused or failed, since those that come back have no object
- * in memory. The cause: an instance forgot at the end of a try that backend servers had ended under
- * it, and told no other.
- *
- * Evidence: 12 of 23 ends came under a request that had lost its answer at another backend server
- * 32 to 693 ms before, whose address refused new connections from then on; this test, where nothing
- * but the request is wrong, ended 32.
+ * Quarantine of a request that makes the backend servers which run it end. Without it a caller that
+ * repeats such a request ends one backend after the other, at any instance.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -27,7 +18,7 @@
     TRIES = 16,
     RETRY_INTERVAL_MS = 150,
     PROPAGATION_MS = 1000, /* until a change of the list is in force, below the first term */
-    /* One end more than it takes to know, and one that crossed the news. */
+    /* One end more than needed for the verdict, which may cross the notification. */
     ENDS_MAX = 3,
 };
 
@@ -46,13 +37,13 @@
 }
 END_TEST
 
-/* Held at both: two backend servers have ended under it. */
+/* Has the request quarantined at both instances: two backend servers have ended under it. */
 static void
 quarantine_request(instances_t *fleet, const char *path)
 {
     fleet->site->poison = path;
     ask_through(fleet, 0, path);
-    pass(fleet->site, RETRY_INTERVAL_MS); /* the news has its way */
+    pass(fleet->site, RETRY_INTERVAL_MS); /* the notification is on its way */
     RUN_UNTIL(fleet->site, ask_through(fleet, 0, path).status == 503);
     RUN_UNTIL(fleet->site, ask_through(fleet, 1, path).status == 503);
 }
@@ -67,10 +58,10 @@
     ck_assert_int_eq(reply.status, 503);
     ck_assert(strtod(reply.retry_after, NULL) > 1);
     ck_assert(strtod(reply.retry_after, NULL) <= 3);
-    /* Another path, method or body of the same caller is another request. */
+    /* A request of the same caller with another path is a different one. */
     ck_assert_int_eq(ask_through(&fleet, 1, "/safe/other").status, 200);
     fleet.site->poison = NULL;
-    /* When the backend servers bear it, the next trial frees it at both. */
+    /* Once the backends survive the request, the next trial clears it at both instances. */
     pass(fleet.site, (uint64_t)(1000 * strtod(reply.retry_after, NULL)) + 100);
     ck_assert_int_eq(ask_through(&fleet, 0, "/safe/poison").status, 200);
     RUN_UNTIL(fleet.site, ask_through(&fleet, 1, "/safe/poison").status == 200);
@@ -98,7 +89,7 @@
         pass(site, RETRY_INTERVAL_MS);
     }
     all_do(site, DOES_ANSWER);
-    pass(site, 1000); /* the breakers close */
+    pass(site, 1000); /* wait for the breakers to close */
     ck_assert_int_eq(ask(site, "GET", "/safe/x").status, 200);
 }
 END_TEST
@@ -129,8 +120,8 @@
 }
 END_TEST
 
-/* More instances than tell each other everything: one end is known to the region's keepers only,
- * who tell all when there are two. The request may not be repeated, so that each try ends one. */
+/* In a large fleet a single end is known to the region's keepers only, who notify all instances at
+ * the second one. The request may not be repeated, so that each attempt ends one backend. */
 START_TEST(quarantine_is_announced_in_a_large_fleet)
 {
     enum { LARGE = 18, LARGE_TRIES = 12, IN_FLIGHT_ENDS = 1 };
@@ -209,13 +200,13 @@
         pass(fleet.site, RETRY_INTERVAL_MS);
     }
     ck_assert_uint_le(fleet.site->ends, FIVE * ENDS_EACH);
-    pass(fleet.site, 1000); /* those that ended are back */
+    pass(fleet.site, 1000); /* wait for the ended backends to return */
     ck_assert_int_eq(ask_through(&fleet, 0, "/safe/other").status, 200);
     ck_assert_int_eq(ask_through(&fleet, 1, "/safe/other").status, 200);
 }
 END_TEST
 
-/* The backend server that has run something since its count was set to 0. */
+/* Returns the backend that has run a request since its count was reset. */
 static scripted_t *
 running_backend(site_t *site)
 {
@@ -226,8 +217,8 @@
     return NULL;
 }
 
-/* Five times it is at a backend server that ends. A verdict at the first end would have it refused,
- * one that forgot its finished runs at the second. */
+/* A request that is five times on a backend that ends, without being the cause. A verdict at the
+ * first end, or one that forgets finished runs, would refuse it. */
 START_TEST(bystander_request_is_served)
 {
     enum { TIMES = 5 };
@@ -247,7 +238,7 @@
         end_process(running_backend(site));
         RUN_UNTIL(site, reply.done);
         ck_assert_int_eq(reply.status, 200);
-        pass(site, 400); /* the one that ended is back */
+        pass(site, 400); /* wait for the ended backend to return */
     }
 }
 END_TEST
@@ -268,7 +259,7 @@
     }
     pass(fleet.site, quarantine_term_ms(2)); /* the term is over, and nothing is tried elsewhere */
     ck_assert_int_eq(ask_through(&fleet, 0, "/safe/poison").status, 200);
-    /* All of them went to the version that bears it, and none to those that would have ended. */
+    /* All requests went to the fixed version, and none to the others. */
     ck_assert_uint_eq(fleet.site->ends, ends);
     ck_assert_uint_ge(mended->runs, TRIES);
 }
--- a/test/gateway/test_region_plan.c
+++ b/test/gateway/test_region_plan.c
@@ -1,4 +1,4 @@
-/* Region plan: shares follow room and demand in steps. */
+/* Region plan: shares follow slots and demand in steps. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -27,7 +27,7 @@
     for (int i = 0; i < 3; i++)
         total += plan.share[i];
     ck_assert(total > 0.999 && total < 1.001);
-    /* A burst of demand and its end move the mix by little in any two seconds. */
+    /* A burst of demand moves the shares by little in any two seconds. */
     double before[3];
     for (uint64_t at = 1200; at < 60000; at += 200) {
         input = weak_region(at > 10000 && at < 13000 ? 90 : 25);
@@ -45,7 +45,7 @@
 
 START_TEST(plan_spreads_overload_evenly)
 {
-    /* No region has room under the target: the weak one must not keep everything at home. */
+    /* No region is below the target use: the weak one must not keep all of its demand. */
     region_plan_t plan = {0};
     region_plan_input_t input = weak_region(110);
     region_plan_update(&plan, &input, 3, 1, 1000);
@@ -70,7 +70,7 @@
 }
 END_TEST
 
-/* Found on the users' bench: backends become known one by one, long before the first request. */
+/* Backends become known one by one, long before the first request. */
 START_TEST(plan_follows_slots_until_demand_is_seen)
 {
     region_plan_t plan = {0};
@@ -99,7 +99,7 @@
     return config;
 }
 
-/* Found on the users' bench: the first requests of all regions went to the first region. */
+/* The first requests of all regions must not go to the first region. */
 START_TEST(plans_exist_before_the_first_request)
 {
     static const decoder_port_t decoder = {.config = one_service};
@@ -139,7 +139,7 @@
 }
 END_TEST
 
-/* Found on the users' bench: a region without room for its downloads refused them for good. */
+/* A region without enough slots for its downloads must not refuse them for good. */
 START_TEST(plan_keeps_large_responses_local_longer)
 {
     static const struct {
--- a/test/gateway/test_relay.c
+++ b/test/gateway/test_relay.c
@@ -1,4 +1,4 @@
-/* Relay: who sends a change on to whom, and when an instance asks for what it lacks. */
+/* View relay: distribution of changes, and pulls by lagging instances. */
 #include "base/xmalloc.h"
 #include "gateway/policy/relay.h"
 #include "test/suites.h"
@@ -6,12 +6,12 @@
 enum { INSTANCES_MAX = 60, LARGE = 100000, SMALL = 300 };
 
 typedef struct {
-    unsigned copies[INSTANCES_MAX]; /* that reached an instance */
-    unsigned sent[INSTANCES_MAX];   /* by an instance */
+    unsigned copies[INSTANCES_MAX]; /* copies received by each instance */
+    unsigned sent[INSTANCES_MAX];   /* copies sent by each instance */
 } spread_t;
 
-/* Sends a change through `count` instances, beginning at the one that watches the store; those that
- * get it for the first time send it on. */
+/* Distributes a change over `count` instances, starting at the store's watcher; each instance that
+ * gets it for the first time sends it on. */
 static spread_t
 spread(size_t bytes, size_t count, size_t origin)
 {
@@ -90,7 +90,7 @@
     ck_assert(!relay_lag_should_pull(&lag, 60, 10000));
     relay_lag_detected(&lag, 50, 1000);
     relay_lag_detected(&lag, 60, 1300);
-    relay_lag_reached(&lag, 49); /* a change of long ago */
+    relay_lag_reached(&lag, 49); /* an old change */
     ck_assert(!relay_lag_should_pull(&lag, 60, 1449));
     ck_assert(relay_lag_should_pull(&lag, 60, 1450));
     relay_lag_reached(&lag, 50);
@@ -112,13 +112,13 @@
 
 START_TEST(relay_lag_waits_for_pause_after_large_change)
 {
-    enum { CONFIGURATION = 14400 }; /* bytes; the users' of 72 routes */
+    enum { CONFIGURATION = 14400 }; /* bytes; a configuration of 72 routes */
     relay_lag_t lag = {0};
     relay_lag_change_received(&lag, CONFIGURATION, 1000);
     relay_lag_detected(&lag, 50, 1000);
     ck_assert(!relay_lag_should_pull(&lag, 50, 1450));
     ck_assert(relay_lag_should_pull(&lag, 50, 1000 + 404 + 450));
-    /* However large, an instance asks in time. */
+    /* The delay is bounded for a change of any size. */
     relay_lag_change_received(&lag, (size_t)100 * LARGE, 1000);
     ck_assert(relay_lag_should_pull(&lag, 50, 2450));
 }
@@ -130,7 +130,8 @@
     relay_lag_change_received(&lag, LARGE, 1000);
     relay_lag_detected(&lag, 50, 60000);
     ck_assert(relay_lag_should_pull(&lag, 50, 60450));
-    /* Small ones have no pause, and large ones that keep coming do not put it off for ever. */
+    /* Small changes cause no pause, and a series of large ones does not delay the pull
+     * indefinitely. */
     relay_lag_change_received(&lag, SMALL, 60100);
     ck_assert(relay_lag_should_pull(&lag, 50, 60450));
     for (uint64_t now_ms = 60200; now_ms <= 61400; now_ms += 200)
--- a/test/gateway/test_retry.c
+++ b/test/gateway/test_retry.c
@@ -1,4 +1,4 @@
-/* Retry budget and the decision to retry. */
+/* Retry budget and retry decisions. */
 #include "gateway/policy/retry.h"
 #include "test/suites.h"
 
@@ -14,11 +14,11 @@
     ck_assert_uint_ge(taken, 100);
     ck_assert_uint_le(taken, 200 + 58 / 9);
     ck_assert(!retry_budget_take(&budget, &terms, 58000));
-    ck_assert(retry_budget_take(&budget, &terms, 75000)); /* the part of the constant */
+    ck_assert(retry_budget_take(&budget, &terms, 75000)); /* this instance's part of the constant */
 }
 END_TEST
 
-/* Found on the users' bench: a send in place of an overdue attempt was not counted. */
+/* A send in place of an overdue attempt must count against the budget. */
 START_TEST(overdue_replacement_consumes_retry_budget)
 {
     retry_budget_t budget = {0};
@@ -37,7 +37,7 @@
         retry_budget_count_request(&budget, &context.terms, context.now_ms);
     ck_assert_int_eq(retry_decide_overdue(&overdue, &context), RETRY_YES);
     ck_assert_int_eq(retry_decide_overdue(&overdue, &context), RETRY_OVER_BUDGET);
-    /* An attempt that still waits for its connection has reached nobody. */
+    /* An attempt that is still connecting has sent nothing. */
     overdue.sent = false;
     ck_assert_int_eq(retry_decide_overdue(&overdue, &context), RETRY_YES);
 }
@@ -104,7 +104,7 @@
 {
     ck_assert_uint_eq(retry_after_ms(false), 0);
     ck_assert_uint_gt(retry_after_ms(true), 0);
-    ck_assert_uint_lt(retry_after_ms(true), 60); /* the time that must be left */
+    ck_assert_uint_lt(retry_after_ms(true), 60); /* the time that must be left for an attempt */
 }
 END_TEST
 
--- a/test/gateway/test_store_schedule.c
+++ b/test/gateway/test_store_schedule.c
@@ -1,4 +1,4 @@
-/* Who calls the store, and when: the rules, and a fleet of instances that start together. */
+/* Store schedule: the rules, and instances that start at the same time. */
 #include <stdio.h>
 
 #include "base/str.h"
@@ -9,7 +9,7 @@
 
 enum { FLEET = 295, REGION = 98 };
 
-/* With 295 instances the views can go from the first readers to all before most of them read. */
+/* The first readers must be able to distribute the views before most instances read the store. */
 START_TEST(few_starting_instances_read_the_store_first)
 {
     enum { FIRST_MS = 250, FIRST_MAX = 30, LATEST_MS = 600 };
@@ -28,7 +28,7 @@
 }
 END_TEST
 
-/* An outage of 9 s: the calls of a region hardly grow with its instances. */
+/* During an outage of 9 s the calls of a region hardly grow with its instances. */
 START_TEST(store_probes_during_outage_are_bounded)
 {
     enum { OUTAGE_MS = 9000, CALLS_MAX = 110 };
@@ -49,7 +49,7 @@
 }
 END_TEST
 
-/* With the first four turned away another one tries within half a second. */
+/* If the first four instances are refused, another one tries within half a second. */
 START_TEST(unwatched_store_is_taken_over)
 {
     ck_assert(store_schedule_watches(0) && store_schedule_watches(1) && !store_schedule_watches(2));
@@ -62,8 +62,7 @@
 
 START_TEST(simultaneous_starts_make_few_store_calls)
 {
-    /* Each made seven calls to start with, without its watches; now it announces itself, and a few
-     * read for all. */
+    /* Each instance announces itself; only a few read the store for all. */
     enum { FLEET_SIZE = 12, READS_MAX = 40 };
     gateway_t *fleet[FLEET_SIZE];
     site_t *site = new_site(1);
