--- a/test/gateway/test_backend_backoff.c
+++ b/test/gateway/test_backend_backoff.c
@@ -150,8 +150,8 @@
 Suite *
 suite_gateway_backend_backoff(void)
 {
-    Suite *suite = suite_create("gateway: backend rest");
-    TCase *tests = tcase_create("backend rest");
+    Suite *suite = suite_create("gateway: backend backoff");
+    TCase *tests = tcase_create("backend backoff");
     tcase_set_timeout(tests, 30);
     tcase_add_test(tests, backend_retry_after_is_respected);
     tcase_add_test(tests, one_request_probes_after_backoff);
--- a/test/gateway/test_limit_model.c
+++ b/test/gateway/test_limit_model.c
@@ -24,8 +24,8 @@
 print_row(const limit_conf_t *conf, const limit_result_t *result)
 {
     static const char *const strategies[] = {"even", "senders", "permits"};
-    static const char *const faults[] = {"none",      "half cut off", "owner still",
-                                         "all still", "owner ends",   "all end"};
+    static const char *const faults[] = {"none",       "half partitioned", "owner paused",
+                                         "all paused", "owner restarts",   "all restart"};
     if (getenv("LIMIT_MODEL_TABLE") != NULL && conf->seed == 1)
         printf("| %s | %u%s | %g | %s | %u of %g | %.2f | %.0f |\n", faults[conf->fault],
                conf->instances, conf->caller_instances > 0 ? ", callers at 6" : "",
@@ -64,10 +64,11 @@
         };
         const limit_result_t result = run(conf);
         ck_assert_msg(result.max_in_window <= bound_of(conf.limit_per_s),
-                      "%u of %g at %u instances", result.max_in_window, bound_of(conf.limit_per_s),
-                      conf.instances);
-        ck_assert_msg(result.utilization >= 0.8 && result.utilization <= 1.2, "%g of %g used at %u",
-                      result.utilization, conf.limit_per_s, conf.instances);
+                      "%u requests in a window, bound %g, %u instances", result.max_in_window,
+                      bound_of(conf.limit_per_s), conf.instances);
+        ck_assert_msg(result.utilization >= 0.8 && result.utilization <= 1.2,
+                      "utilization %g of limit %g, %u instances", result.utilization,
+                      conf.limit_per_s, conf.instances);
     }
 }
 
--- a/test/gateway/test_relay.c
+++ b/test/gateway/test_relay.c
@@ -45,8 +45,8 @@
             for (size_t origin = 0; origin < count; origin++) {
                 const spread_t result = spread(sizes[s], count, origin);
                 for (size_t i = 0; i < count; i++)
-                    ck_assert_msg(i == origin || result.copies[i] > 0, "%zu of %zu from %zu", i,
-                                  count, origin);
+                    ck_assert_msg(i == origin || result.copies[i] > 0,
+                                  "instance %zu of %zu not reached from %zu", i, count, origin);
             }
         }
     }
--- a/test/gateway/test_store_schedule.c
+++ b/test/gateway/test_store_schedule.c
@@ -43,7 +43,7 @@
                 calls +=
                     1 + (OUTAGE_MS - from_ms) / store_schedule_probe_interval_ms(rank, regions[r]);
         }
-        ck_assert_msg(calls <= CALLS_MAX, "%zu instances make %zu calls", regions[r], calls);
+        ck_assert_msg(calls <= CALLS_MAX, "%zu instances make %zu store calls", regions[r], calls);
         ck_assert_uint_ge(calls, 2 * OUTAGE_MS / 1000);
     }
 }
@@ -79,14 +79,14 @@
         RUN_UNTIL(site, is_ready(site));
     }
     const uint64_t calls = standin_store_calls(site->store) - before;
-    ck_assert_msg(calls <= FLEET_SIZE + READS_MAX, "%llu calls", (unsigned long long)calls);
+    ck_assert_msg(calls <= FLEET_SIZE + READS_MAX, "%llu store calls", (unsigned long long)calls);
 }
 END_TEST
 
 Suite *
 suite_gateway_store_schedule(void)
 {
-    Suite *suite = suite_create("gateway: store turns");
+    Suite *suite = suite_create("gateway: store schedule");
     TCase *tests = tcase_create("turns");
     tcase_set_timeout(tests, 60);
     tcase_add_test(tests, few_starting_instances_read_the_store_first);
