--- a/gateway/policy/choice.c
+++ b/gateway/policy/choice.c
@@ -3,23 +3,21 @@
 #include "gateway/policy/choice_areas.h"
 #include "gateway/policy/replicas.h"
 
-/* At most this share of a region's backends is avoided. Chosen, not measured. */
+/* Upper bound on the share of a region's backends that are avoided. */
 #define AVOIDED_MAX_SHARE 0.6
-/* And no more than leaves the use of the others' slots below this, at the highest demand measured:
- * a slow backend is better than a refusal. Avoiding whatever the load lowered padana-ricambi
- * scale-1 from 0.462 to 0.435 (commit 28ac3e3). */
+/* Backends are avoided only while the use of the remaining slots at peak demand stays below this: a
+ * slow backend is better than a refused request. */
 #define AVOIDED_MAX_USE 0.9
-/* Added to a cold backend's requests a slot where the least loaded is looked for: above any load
- * that is admitted. */
+/* Load per slot added for cold backends when looking for the least loaded one; above any admitted
+ * load. */
 #define COLD_LOAD 100.0
-/* Brings an avoided backend's score below that of every other. */
+/* Scales the score of an avoided backend below that of all others. */
 #define AVOIDED_FACTOR 1e-9
 
 enum {
-    /* Backends of a service that are looked at; the largest site swept had 3,000 (commit 59548b9).
-     */
+    /* Upper bound on the backends of a service that are considered. */
     CANDIDATES_MAX = 8192,
-    /* Looked at in a region for a request without an object. Chosen, not measured. */
+    /* Backends considered per region for a request without an object. */
     REPLICAS_ANY = REPLICAS_MAX,
 };
 
@@ -34,7 +32,7 @@
 {
     const uint64_t pair[] = {input->object, backend->key};
     const uint64_t hash = str_hash((str_t){(const char *)pair, sizeof(pair)}, 0);
-    return (double)backend->info.capacity / -log(choice_unit(hash));
+    return (double)backend->info.capacity / -log(choice_hash_to_unit(hash));
 }
 
 static bool
@@ -47,18 +45,18 @@
     return false;
 }
 
-/* True if the request may go to the backend, whatever state that is in. */
+/* True if the backend matches the request's constraints, whatever its state. */
 static bool
-serves(const choice_input_t *input, const backend_t *backend)
+is_eligible(const choice_input_t *input, const backend_t *backend)
 {
     return name_eq(&backend->info.service, input->service) && !was_tried(input, backend) &&
            (input->version == 0 || backend->info.version == input->version) &&
            choice_allows_region(input, backend->region);
 }
 
-/* True if the backend is warm, or this instance may send a cold one a request now. */
+/* True if the backend is warm, or this instance may send it a request under cold-start pacing. */
 static bool
-is_in_pace(const choice_input_t *input, backend_t *backend)
+within_cold_start_rate(const choice_input_t *input, backend_t *backend)
 {
     if (!backend_is_cold(backend, input->now_ms))
         return true;
@@ -67,7 +65,7 @@
                                 input->sender_count);
 }
 
-/* Number of a region's backends that may be avoided, as a share. */
+/* Share of a region's backends that may be avoided. */
 static double
 avoidable_share(const choice_input_t *input)
 {
@@ -75,8 +73,8 @@
     return spare < AVOIDED_MAX_SHARE ? spare : AVOIDED_MAX_SHARE;
 }
 
-/* Puts avoided backends behind all others of their region, unless too many there are avoided: then
- * the fault lies elsewhere, or the others could not carry the load. */
+/* Ranks avoided backends behind all others of their region, unless too many are avoided: the cause
+ * then lies elsewhere, or the others could not carry the load. */
 static void
 demote_avoided(const choice_input_t *input, candidate_t *candidates, size_t count)
 {
@@ -98,41 +96,43 @@
     }
 }
 
-/* The best of those that are passed over. */
+/* The best-ranked of the skipped backends. */
 typedef struct {
-    passed_t why;
+    skip_reason_t reason;
     double score;
     size_t region;
-    uint64_t wait_ms; /* the shortest of all */
-} passed_best_t;
+    uint64_t wait_ms; /* shortest wait of all skipped backends; 0: not known */
+} best_skipped_t;
 
 static void
-note_passed(const choice_input_t *input, const backend_t *backend, passed_t why,
-            passed_best_t *best)
+record_skipped(const choice_input_t *input, const backend_t *backend, skip_reason_t reason,
+               best_skipped_t *best)
 {
     const double score = rendezvous_score(input, backend);
-    const uint64_t wait_ms = pass_over_wait_ms(backend, input->now_ms);
+    const uint64_t wait_ms = backend_skip_wait_ms(backend, input->now_ms);
     if (wait_ms > 0 && (best->wait_ms == 0 || wait_ms < best->wait_ms))
         best->wait_ms = wait_ms;
-    if (best->why != PASSED_NOT && best->score >= score)
+    if (best->reason != SKIP_NONE && best->score >= score)
         return;
-    best->why = why;
+    best->reason = reason;
     best->score = score;
     best->region = backend->region;
 }
 
 static size_t
-collect(const choice_input_t *input, candidate_t *out, passed_best_t *passed)
+collect_candidates(const choice_input_t *input, candidate_t *out, best_skipped_t *skipped)
 {
     size_t count = 0;
     for (size_t i = 0; i < input->backends->count && count < CANDIDATES_MAX; i++) {
         backend_t *backend = input->backends->items[i];
-        if (!serves(input, backend))
+        if (!is_eligible(input, backend))
             continue;
-        const passed_t why = pass_over(backend, input->may_ask, input->now_ms);
-        if (why != PASSED_NOT)
-            note_passed(input, backend, why, passed);
-        else if (backend_is_usable(backend, input->now_ms) && is_in_pace(input, backend))
+        const skip_reason_t reason =
+            backend_skip_reason(backend, input->may_request_permit, input->now_ms);
+        if (reason != SKIP_NONE)
+            record_skipped(input, backend, reason, skipped);
+        else if (backend_is_usable(backend, input->now_ms) &&
+                 within_cold_start_rate(input, backend))
             out[count++] =
                 (candidate_t){.backend = backend, .score = rendezvous_score(input, backend)};
     }
@@ -146,10 +146,10 @@
     return backend_load(backend, input->now_ms) / backend->info.capacity;
 }
 
-/* The best candidates of an area, in the request's order, at most `most`; returns their number. */
+/* Finds the best-ranked candidates of an area, at most `max_count`; returns their number. */
 static size_t
 find_replicas(const choice_input_t *input, const candidate_t *candidates, size_t count,
-              const choice_area_t *area, candidate_t *out, size_t most)
+              const choice_area_t *area, candidate_t *out, size_t max_count)
 {
     size_t found = 0;
     for (size_t i = 0; i < count; i++) {
@@ -158,9 +158,9 @@
         size_t at = found;
         while (at > 0 && out[at - 1].score < candidates[i].score)
             at--;
-        if (at == most)
+        if (at == max_count)
             continue;
-        if (found < most)
+        if (found < max_count)
             found++;
         for (size_t k = found - 1; k > at; k--)
             out[k] = out[k - 1];
@@ -169,8 +169,8 @@
     return found;
 }
 
-/* The candidate of an area with the fewest requests a slot, warm before cold; returns the number
- * found, 1 at the most. */
+/* Finds the candidate of an area with the fewest requests per slot, warm ones first; returns the
+ * number found, 0 or 1. */
 static size_t
 find_least_loaded(const choice_input_t *input, const candidate_t *candidates, size_t count,
                   const choice_area_t *area, candidate_t *out)
@@ -205,28 +205,27 @@
     return admission_decide(&input->request, &state);
 }
 
-/* Index of the replica that admits the request, `count` if none does. A request about an object
- * queues at the first replica that lets it, rather than run without the object in memory; others
- * queue only if no replica has room.
- */
+/* Returns the index of the replica that admits the request, `count` if none does. A request about
+ * an object queues at the first replica that accepts it rather than run without the object in
+ * memory; other requests queue only if no replica has a free slot. */
 static size_t
 pick_replica(const choice_input_t *input, const candidate_t *replicas, size_t count,
              admission_t *admission)
 {
-    size_t waits_at = count;
+    size_t queue_at = count;
     for (size_t i = 0; i < count; i++) {
         *admission = admit(input, replicas[i].backend);
         if (*admission == ADMIT_NOW || (*admission == ADMIT_AFTER_WAIT && input->has_object))
             return i;
-        if (*admission == ADMIT_AFTER_WAIT && waits_at == count)
-            waits_at = i;
+        if (*admission == ADMIT_AFTER_WAIT && queue_at == count)
+            queue_at = i;
     }
-    *admission = waits_at < count ? ADMIT_AFTER_WAIT : ADMIT_NOT;
-    return waits_at;
+    *admission = queue_at < count ? ADMIT_AFTER_WAIT : ADMIT_NOT;
+    return queue_at;
 }
 
-/* Cuts the candidates of an area down to the object's replicas, the least loaded first; returns
- * their number. */
+/* Truncates the candidates of an area to the object's replicas and moves the least loaded to the
+ * front; returns their number. */
 static size_t
 keep_replicas(const choice_input_t *input, candidate_t *replicas, size_t count)
 {
@@ -247,31 +246,31 @@
 }
 
 static choice_reason_t
-reason_of(bool elsewhere, admission_t admission, size_t index)
+admitted_reason(bool other_region, admission_t admission, size_t index)
 {
-    if (elsewhere)
-        return CHOICE_ELSEWHERE;
+    if (other_region)
+        return CHOICE_OTHER_REGION;
     if (admission == ADMIT_AFTER_WAIT)
         return CHOICE_QUEUED;
-    return index > 0 ? CHOICE_LATER : CHOICE_FIRST;
+    return index > 0 ? CHOICE_FALLBACK : CHOICE_FIRST;
 }
 
-/* The candidates of an area that the request looks at, in their order. */
+/* Finds the candidates of an area that the request may try, in order; returns their number. */
 static size_t
 find_in_area(const choice_input_t *input, const candidate_t *candidates, size_t count,
              const choice_area_t *area, candidate_t *out)
 {
     if (input->suspected)
         return find_least_loaded(input, candidates, count, area, out);
-    const size_t most = input->has_object ? REPLICAS_MAX : REPLICAS_ANY;
-    const size_t found = find_replicas(input, candidates, count, area, out, most);
+    const size_t max_count = input->has_object ? REPLICAS_MAX : REPLICAS_ANY;
+    const size_t found = find_replicas(input, candidates, count, area, out, max_count);
     return input->has_object ? keep_replicas(input, out, found) : found;
 }
 
-/* Looks for a backend in one area after the other; false if none admits the request. */
+/* Searches the areas in order for a backend that admits the request; false if none does. */
 static bool
-pick(const choice_input_t *input, const candidate_t *candidates, size_t count,
-     const passed_best_t *passed, choice_t *choice)
+pick_backend(const choice_input_t *input, const candidate_t *candidates, size_t count,
+             const best_skipped_t *skipped, choice_t *choice)
 {
     choice_area_t areas[CHOICE_AREAS_MAX];
     candidate_t replicas[REPLICAS_MAX];
@@ -279,19 +278,19 @@
     bool any = false;
     for (size_t i = 0; i < area_count; i++) {
         admission_t admission;
-        const bool elsewhere = areas[i].region != areas[0].region;
-        if (elsewhere && any)
+        const bool other_region = areas[i].region != areas[0].region;
+        if (other_region && any)
             break;
         const size_t found = find_in_area(input, candidates, count, &areas[i], replicas);
         const size_t picked = pick_replica(input, replicas, found, &admission);
         any |= found > 0;
         if (picked == found)
             continue;
-        choice->reason = reason_of(elsewhere, admission, picked);
+        choice->reason = admitted_reason(other_region, admission, picked);
         choice->backend = replicas[picked].backend;
-        if (passed->region == areas[0].region &&
-            (elsewhere || passed->score > replicas[picked].score))
-            choice->passed = passed->why;
+        if (skipped->region == areas[0].region &&
+            (other_region || skipped->score > replicas[picked].score))
+            choice->skip_reason = skipped->reason;
         return true;
     }
     return false;
@@ -301,17 +300,17 @@
 choice_make(const choice_input_t *input)
 {
     static candidate_t candidates[CANDIDATES_MAX];
-    passed_best_t passed = {0};
+    best_skipped_t skipped = {0};
     choice_t choice = {0};
-    const size_t count = collect(input, candidates, &passed);
-    if (pick(input, candidates, count, &passed, &choice))
+    const size_t count = collect_candidates(input, candidates, &skipped);
+    if (pick_backend(input, candidates, count, &skipped, &choice))
         return choice;
-    choice.passed = passed.why;
-    choice.wait_ms = passed.wait_ms;
+    choice.skip_reason = skipped.reason;
+    choice.wait_ms = skipped.wait_ms;
     if (count > 0)
         choice.reason = CHOICE_FULL;
     else
-        choice.reason = passed.why != PASSED_NOT ? CHOICE_PASSED : CHOICE_NONE;
+        choice.reason = skipped.reason != SKIP_NONE ? CHOICE_ALL_SKIPPED : CHOICE_NONE;
     return choice;
 }
 
@@ -319,8 +318,12 @@
 choice_reason_name(choice_reason_t reason)
 {
     static const char *const names[] = {
-        [CHOICE_FIRST] = "first",   [CHOICE_LATER] = "later", [CHOICE_ELSEWHERE] = "elsewhere",
-        [CHOICE_QUEUED] = "queued", [CHOICE_FULL] = "full",   [CHOICE_PASSED] = "passed",
+        [CHOICE_FIRST] = "first",
+        [CHOICE_FALLBACK] = "later",
+        [CHOICE_OTHER_REGION] = "elsewhere",
+        [CHOICE_QUEUED] = "queued",
+        [CHOICE_FULL] = "full",
+        [CHOICE_ALL_SKIPPED] = "passed",
         [CHOICE_NONE] = "none",
     };
     return names[reason];
--- a/gateway/policy/cold_start.c
+++ b/gateway/policy/cold_start.c
@@ -2,15 +2,14 @@
 
 #include "base/str.h"
 
-/* Share of the rate that is used, for requests that were sent in one second and arrive in the next.
- * Chosen; cold_rate_of_all_users_stays_in_bound in the tests shows that it holds. */
+/* Share of the configured rate that is used, as a margin for requests sent in one second that
+ * arrive in the next. */
 #define RATE_SHARE 0.8
-/* Requests a second for a backend whose service is not in the configuration (yet). Chosen,
- * not measured. */
+/* Requests per second to a backend whose service is not in the configuration. */
 #define UNKNOWN_RATE_PER_S 1.0
-/* Used where the configuration sets no bound. */
+/* Rate if the configuration sets no limit. */
 #define UNBOUNDED_RATE_PER_S 1e6
-/* Requests that may be sent at once. */
+/* Requests that may be sent back to back. */
 #define BURST 1.0
 
 static uint64_t
@@ -24,19 +23,19 @@
 cold_start_is_sender(uint64_t backend_key, size_t backend_region, uint64_t own_key,
                      const cold_sender_t *instances, size_t count)
 {
-    bool own_near = false;
-    bool any_near = false;
+    bool own_in_region = false;
+    bool any_in_region = false;
     for (size_t i = 0; i < count; i++) {
-        const bool near = instances[i].region == backend_region;
-        any_near |= near;
-        own_near |= near && instances[i].key == own_key;
+        const bool in_region = instances[i].region == backend_region;
+        any_in_region |= in_region;
+        own_in_region |= in_region && instances[i].key == own_key;
     }
-    if (any_near && !own_near)
+    if (any_in_region && !own_in_region)
         return false;
     const uint64_t own_rank = rank(backend_key, own_key);
     size_t before = 0;
     for (size_t i = 0; i < count; i++) {
-        if (any_near && instances[i].region != backend_region)
+        if (any_in_region && instances[i].region != backend_region)
             continue;
         before += rank(backend_key, instances[i].key) < own_rank;
     }
--- /dev/null
+++ b/gateway/policy/store_schedule.c
@@ -0,0 +1,58 @@
+#include "gateway/policy/store_schedule.h"
+
+#include <math.h>
+
+enum {
+    /* Instances of a region that watch the store; a second one covers a watch that fails unnoticed
+     * until its timeout of 3 s. */
+    WATCHERS = 2,
+    /* Instances of a region that try at once if there is no watcher; with a third of the instances
+     * refused, one of four is served in 79 of 80 cases. */
+    PRIORITY_RANKS = 4,
+    TAKEOVER_STEP_MS = 250, /* one more instance per step */
+    /* Longest startup delay. Few instances read the store early, so that most get the views from
+     * these readers. */
+    START_SPREAD_MS = 600,
+    SEED_START_MS = 0,     /* seeds read at once, the others ask them */
+    PROBE_MS = 1000,       /* interval of each of the first instances */
+    PROBE_OTHERS_MS = 500, /* between two probes of the others together */
+    /* Pause between two watches. Entries change often in a large deployment and each change answers
+     * a watch; the two watchers of a region alternate, which halves the delay. */
+    WATCH_PAUSE_MS = 400,
+};
+
+bool
+store_schedule_watches(size_t rank)
+{
+    return rank < WATCHERS;
+}
+
+uint64_t
+store_schedule_startup_delay_ms(uint64_t key, bool is_seed)
+{
+    if (is_seed)
+        return SEED_START_MS;
+    const double part = (double)(key % 1000) / 1000;
+    return (uint64_t)(START_SPREAD_MS * cbrt(part));
+}
+
+bool
+store_schedule_takes_over(size_t rank, uint64_t unwatched_ms)
+{
+    return rank < PRIORITY_RANKS || unwatched_ms >= (rank - PRIORITY_RANKS + 1) * TAKEOVER_STEP_MS;
+}
+
+uint64_t
+store_schedule_probe_interval_ms(size_t rank, size_t instances)
+{
+    if (rank < PRIORITY_RANKS)
+        return PROBE_MS;
+    const uint64_t turn_ms = (uint64_t)instances * PROBE_OTHERS_MS;
+    return turn_ms > PROBE_MS ? turn_ms : PROBE_MS;
+}
+
+uint64_t
+store_schedule_watch_pause_ms(void)
+{
+    return WATCH_PAUSE_MS;
+}
--- /dev/null
+++ b/gateway/policy/store_schedule.h
@@ -0,0 +1,36 @@
+/*
+ * Store schedule: which instances call the platform's store, and when.
+ *
+ *  - Two instances of each region that the store serves watch it. If no watcher is known, the first
+ *    four instances of the region try at once, and one more every 250 ms, until one is served.
+ *  - While the store fails an instance, the first four probe it once a second, and the others in
+ *    turn, two per second and region.
+ *  - Starting instances wait for different times, most of them long: the first few read the store,
+ *    and the others get the views from them.
+ *
+ * Calls to the store are billed, and their rate is limited for the whole fleet. Without a schedule
+ * most calls came from instances that all read the store at start, or all took themselves for the
+ * watchers of their region.
+ *
+ * Stateless. Ranks are positions in an order of a region's instances that is the same on all of
+ * them.
+ */
+#pragma once
+
+#include <stdbool.h>
+#include <stddef.h>
+#include <stdint.h>
+
+/* True if the instance watches the store; `rank` among the instances that the store serves. */
+bool store_schedule_watches(size_t rank);
+/* Returns the time in milliseconds that a starting instance waits for its peers. `key`: hash of its
+ * name; `is_seed`: others ask it first. */
+uint64_t store_schedule_startup_delay_ms(uint64_t key, bool is_seed);
+/* True if the instance calls the store after no watcher was known for `unwatched_ms`; `rank` among
+ * all instances of the region. */
+bool store_schedule_takes_over(size_t rank, uint64_t unwatched_ms);
+/* Returns the interval in milliseconds between probes of a store that fails the instance, in a
+ * region of `instances`. */
+uint64_t store_schedule_probe_interval_ms(size_t rank, size_t instances);
+/* Returns the pause in milliseconds after a watch that returned changes. */
+uint64_t store_schedule_watch_pause_ms(void);
--- a/test/gateway/test_final_answer.c
+++ b/test/gateway/test_final_answer.c
@@ -1,11 +1,11 @@
-/* What a caller is told, and when: deadline, slow answers, final answer. */
+/* Responses made by the gateway: deadline, slow attempts, final answer. */
 #include "base/xmalloc.h"
 #include "gateway/policy/deadline.h"
 #include "gateway/policy/final_answer.h"
 #include "gateway/policy/slow.h"
 #include "test/suites.h"
 
-START_TEST(only_what_has_not_run_is_told_to_come_back)
+START_TEST(retry_after_only_if_request_has_not_run)
 {
     static const struct {
         outcome_t why;
@@ -14,8 +14,8 @@
         bool come_back;
         outcome_t outcome;
     } rows[] = {
-        {OUTCOME_NO_ROOM, false, 503, true, OUTCOME_NO_ROOM},
-        {OUTCOME_NO_ROOM, true, 502, false, OUTCOME_UNKNOWN},
+        {OUTCOME_NO_CAPACITY, false, 503, true, OUTCOME_NO_CAPACITY},
+        {OUTCOME_NO_CAPACITY, true, 502, false, OUTCOME_UNKNOWN},
         {OUTCOME_NO_BACKEND, false, 503, true, OUTCOME_NO_BACKEND},
         {OUTCOME_NOT_RUN, false, 503, true, OUTCOME_NOT_RUN},
         {OUTCOME_NOT_RUN, true, 502, false, OUTCOME_UNKNOWN},
@@ -23,7 +23,7 @@
         {OUTCOME_TIMEOUT, true, 504, false, OUTCOME_TIMEOUT},
         {OUTCOME_NO_CONFIGURATION, false, 503, true, OUTCOME_NO_CONFIGURATION},
         {OUTCOME_NO_ROUTE, false, 404, false, OUTCOME_NO_ROUTE},
-        {OUTCOME_CONFIGURATION_BEHIND, false, 503, true, OUTCOME_CONFIGURATION_BEHIND},
+        {OUTCOME_CONFIGURATION_STALE, false, 503, true, OUTCOME_CONFIGURATION_STALE},
     };
     for (size_t i = 0; i < ALEN(rows); i++) {
         const final_answer_t answer = final_answer(rows[i].why, rows[i].may_have_run, 60000);
@@ -34,8 +34,8 @@
 }
 END_TEST
 
-/* A caller that may come back once finds an instance that serves. */
-START_TEST(a_started_instance_tells_when_it_serves)
+/* A caller that retries only once must find an instance that serves. */
+START_TEST(starting_instance_announces_when_it_serves)
 {
     enum { SERVES_MS = 800 };
     for (uint64_t uptime_ms = 0; uptime_ms <= 5000; uptime_ms += 100) {
@@ -43,29 +43,29 @@
         ck_assert_int_eq(answer.status, 503);
         ck_assert_uint_ge(uptime_ms + answer.retry_after_ms, SERVES_MS);
         ck_assert_uint_le(answer.retry_after_ms, SERVES_MS);
-        /* Other refusals are none of the start's. */
-        ck_assert_uint_eq(final_answer(OUTCOME_NO_ROOM, false, uptime_ms).retry_after_ms, 400);
+        /* Other refusals do not depend on the uptime. */
+        ck_assert_uint_eq(final_answer(OUTCOME_NO_CAPACITY, false, uptime_ms).retry_after_ms, 400);
     }
 }
 END_TEST
 
-START_TEST(a_held_request_is_told_when_it_may_come_back)
+START_TEST(quarantined_request_gets_retry_after)
 {
     const final_answer_t answer = final_answer_held(2750);
     ck_assert_int_eq(answer.status, 503);
     ck_assert_uint_eq(answer.retry_after_ms, 2750);
-    ck_assert_int_eq(answer.outcome, OUTCOME_HELD);
+    ck_assert_int_eq(answer.outcome, OUTCOME_QUARANTINED);
 }
 END_TEST
 
-START_TEST(a_route_is_denied_only_by_who_is_up_to_date)
+START_TEST(unknown_route_is_denied_only_by_current_configuration)
 {
     ck_assert_int_eq(final_answer_no_route(false), OUTCOME_NO_ROUTE);
-    ck_assert_int_eq(final_answer_no_route(true), OUTCOME_CONFIGURATION_BEHIND);
+    ck_assert_int_eq(final_answer_no_route(true), OUTCOME_CONFIGURATION_STALE);
 }
 END_TEST
 
-START_TEST(outcomes_keep_their_names_in_the_metric)
+START_TEST(outcome_names_are_stable)
 {
     static const char *const names[] = {
         "answered",
@@ -93,7 +93,7 @@
 }
 END_TEST
 
-START_TEST(the_shorter_limit_decides)
+START_TEST(shorter_time_limit_applies)
 {
     static const struct {
         deadline_input_t input;
@@ -110,12 +110,12 @@
 }
 END_TEST
 
-START_TEST(slow_is_far_beyond_the_usual)
+START_TEST(slow_threshold_follows_median_and_objective)
 {
-    ck_assert_uint_eq(slow_after_ms(400, 0), 2000);  /* nothing known: five objectives */
+    ck_assert_uint_eq(slow_after_ms(400, 0), 2000);  /* nothing known: 5 objectives */
     ck_assert_uint_eq(slow_after_ms(400, 50), 400);  /* never below the objective */
     ck_assert_uint_eq(slow_after_ms(400, 200), 780); /* 3.9 medians */
-    ck_assert_uint_eq(slow_after_ms(0, 0), 0);       /* no limit */
+    ck_assert_uint_eq(slow_after_ms(0, 0), 0);       /* no objective */
     slow_input_t input = {.slow_ms = 780, .elapsed_ms = 780};
     ck_assert(slow_counts_as_failure(&input));
     input.queued = true;
@@ -132,13 +132,13 @@
 {
     Suite *suite = suite_create("gateway: final answer");
     TCase *tests = tcase_create("final answer");
-    tcase_add_test(tests, only_what_has_not_run_is_told_to_come_back);
-    tcase_add_test(tests, a_started_instance_tells_when_it_serves);
-    tcase_add_test(tests, a_held_request_is_told_when_it_may_come_back);
-    tcase_add_test(tests, a_route_is_denied_only_by_who_is_up_to_date);
-    tcase_add_test(tests, outcomes_keep_their_names_in_the_metric);
-    tcase_add_test(tests, the_shorter_limit_decides);
-    tcase_add_test(tests, slow_is_far_beyond_the_usual);
+    tcase_add_test(tests, retry_after_only_if_request_has_not_run);
+    tcase_add_test(tests, starting_instance_announces_when_it_serves);
+    tcase_add_test(tests, quarantined_request_gets_retry_after);
+    tcase_add_test(tests, unknown_route_is_denied_only_by_current_configuration);
+    tcase_add_test(tests, outcome_names_are_stable);
+    tcase_add_test(tests, shorter_time_limit_applies);
+    tcase_add_test(tests, slow_threshold_follows_median_and_objective);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_region_plan.c
+++ b/test/gateway/test_region_plan.c
@@ -1,4 +1,4 @@
-/* Region plan: shares follow room and demand in steps. */
+/* Region plan: shares follow slots and demand in steps. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -13,10 +13,10 @@
 static region_plan_input_t
 weak_region(double demand)
 {
-    return (region_plan_input_t){.room = {100, 18, 90}, .demand = {demand, demand, demand}};
+    return (region_plan_input_t){.slots = {100, 18, 90}, .demand = {demand, demand, demand}};
 }
 
-START_TEST(plan_sends_a_steady_share_away)
+START_TEST(plan_share_sent_away_is_stable)
 {
     region_plan_t plan = {0};
     region_plan_input_t input = weak_region(0);
@@ -27,7 +27,7 @@
     for (int i = 0; i < 3; i++)
         total += plan.share[i];
     ck_assert(total > 0.999 && total < 1.001);
-    /* A burst of demand and its end move the mix by little in any two seconds. */
+    /* A burst of demand moves the shares by little in any two seconds. */
     double before[3];
     for (uint64_t at = 1200; at < 60000; at += 200) {
         input = weak_region(at > 10000 && at < 13000 ? 90 : 25);
@@ -43,9 +43,9 @@
 }
 END_TEST
 
-START_TEST(plan_shares_an_overload_alike)
+START_TEST(plan_spreads_overload_evenly)
 {
-    /* No region has room under the target: the weak one must not keep everything at home. */
+    /* No region is below the target use: the weak one must not keep all of its demand. */
     region_plan_t plan = {0};
     region_plan_input_t input = weak_region(110);
     region_plan_update(&plan, &input, 3, 1, 1000);
@@ -55,26 +55,26 @@
 }
 END_TEST
 
-START_TEST(plan_makes_up_lost_room_fast)
+START_TEST(plan_reacts_quickly_to_lost_slots)
 {
     region_plan_t plan = {0};
-    region_plan_input_t input = {.room = {100, 100, 100}, .demand = {50, 50, 50}};
+    region_plan_input_t input = {.slots = {100, 100, 100}, .demand = {50, 50, 50}};
     region_plan_update(&plan, &input, 3, 0, 1000);
     for (uint64_t at = 1200; at < 5000; at += 200)
         region_plan_update(&plan, &input, 3, 0, at);
     ck_assert(plan.share[0] > 0.95);
-    input.room[0] = 0;
+    input.slots[0] = 0;
     for (uint64_t at = 5000; at < 9000; at += 200)
         region_plan_update(&plan, &input, 3, 0, at);
     ck_assert(plan.share[0] < 0.2);
 }
 END_TEST
 
-/* Found on the users' bench: backends become known one by one, long before the first request. */
-START_TEST(plan_follows_room_until_demand_is_seen)
+/* Backends become known one by one, long before the first request. */
+START_TEST(plan_follows_slots_until_demand_is_seen)
 {
     region_plan_t plan = {0};
-    region_plan_input_t input = {.room = {4, 0, 0}};
+    region_plan_input_t input = {.slots = {4, 0, 0}};
     region_plan_update(&plan, &input, 3, 1, 1000);
     ck_assert_double_eq_tol(plan.share[1], 0, 0.001);
     input = weak_region(0);
@@ -83,7 +83,7 @@
     ck_assert(settled > 0.2 && settled < 0.5);
     /* From the first demand on, shares move in steps. */
     input.demand[0] = 1;
-    input.room[1] = 100;
+    input.slots[1] = 100;
     region_plan_update(&plan, &input, 3, 1, 1400);
     ck_assert_double_eq_tol(plan.share[1], settled, 0.001);
 }
@@ -99,8 +99,8 @@
     return config;
 }
 
-/* Found on the users' bench: the first requests of all regions went to the first region. */
-START_TEST(plans_are_there_before_the_first_request)
+/* The first requests of all regions must not go to the first region. */
+START_TEST(plans_exist_before_the_first_request)
 {
     static const decoder_port_t decoder = {.config = one_service};
     const topology_t topology = three_regions();
@@ -126,7 +126,7 @@
 }
 END_TEST
 
-START_TEST(plan_keeps_points_in_place)
+START_TEST(plan_change_moves_few_points)
 {
     region_plan_t before = {.share = {0.5, 0.3, 0.2}, .region_count = 3, .own = 0, .started = true};
     region_plan_t after = {
@@ -139,8 +139,8 @@
 }
 END_TEST
 
-/* Found on the users' bench: a region without room for its downloads refused them for good. */
-START_TEST(plan_keeps_large_answers_near_up_to_a_higher_use)
+/* A region without enough slots for its downloads must not refuse them for good. */
+START_TEST(plan_keeps_large_responses_local_longer)
 {
     static const struct {
         double own_share;
@@ -169,13 +169,13 @@
 {
     Suite *suite = suite_create("gateway: region plan");
     TCase *tests = tcase_create("region plan");
-    tcase_add_test(tests, plan_sends_a_steady_share_away);
-    tcase_add_test(tests, plan_shares_an_overload_alike);
-    tcase_add_test(tests, plan_makes_up_lost_room_fast);
-    tcase_add_test(tests, plan_follows_room_until_demand_is_seen);
-    tcase_add_test(tests, plans_are_there_before_the_first_request);
-    tcase_add_test(tests, plan_keeps_points_in_place);
-    tcase_add_test(tests, plan_keeps_large_answers_near_up_to_a_higher_use);
+    tcase_add_test(tests, plan_share_sent_away_is_stable);
+    tcase_add_test(tests, plan_spreads_overload_evenly);
+    tcase_add_test(tests, plan_reacts_quickly_to_lost_slots);
+    tcase_add_test(tests, plan_follows_slots_until_demand_is_seen);
+    tcase_add_test(tests, plans_exist_before_the_first_request);
+    tcase_add_test(tests, plan_change_moves_few_points);
+    tcase_add_test(tests, plan_keeps_large_responses_local_longer);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_relay.c
+++ b/test/gateway/test_relay.c
@@ -1,4 +1,4 @@
-/* Relay: who sends a change on to whom, and when an instance asks for what it lacks. */
+/* View relay: distribution of changes, and pulls by lagging instances. */
 #include "base/xmalloc.h"
 #include "gateway/policy/relay.h"
 #include "test/suites.h"
@@ -6,12 +6,12 @@
 enum { INSTANCES_MAX = 60, LARGE = 100000, SMALL = 300 };
 
 typedef struct {
-    unsigned copies[INSTANCES_MAX]; /* that reached an instance */
-    unsigned sent[INSTANCES_MAX];   /* by an instance */
+    unsigned copies[INSTANCES_MAX]; /* copies received by each instance */
+    unsigned sent[INSTANCES_MAX];   /* copies sent by each instance */
 } spread_t;
 
-/* Sends a change through `count` instances, beginning at the one that watches the store; those that
- * get it for the first time send it on. */
+/* Distributes a change over `count` instances, starting at the store's watcher; each instance that
+ * gets it for the first time sends it on. */
 static spread_t
 spread(size_t bytes, size_t count, size_t origin)
 {
@@ -45,8 +45,8 @@
             for (size_t origin = 0; origin < count; origin++) {
                 const spread_t result = spread(sizes[s], count, origin);
                 for (size_t i = 0; i < count; i++)
-                    ck_assert_msg(i == origin || result.copies[i] > 0, "%zu of %zu from %zu", i,
-                                  count, origin);
+                    ck_assert_msg(i == origin || result.copies[i] > 0,
+                                  "instance %zu of %zu not reached from %zu", i, count, origin);
             }
         }
     }
@@ -64,7 +64,7 @@
 }
 END_TEST
 
-START_TEST(relay_sends_a_small_change_straight)
+START_TEST(relay_sends_small_changes_directly)
 {
     const spread_t result = spread(SMALL, INSTANCES_MAX, 5);
     ck_assert_uint_eq(result.sent[5], INSTANCES_MAX - 1);
@@ -73,7 +73,7 @@
 }
 END_TEST
 
-START_TEST(relay_pauses_in_proportion_to_what_it_sent)
+START_TEST(relay_pause_is_proportional_to_bytes_sent)
 {
     ck_assert_uint_eq(relay_pause_ms(0, 0), 0);
     ck_assert_uint_eq(relay_pause_ms(SMALL, 0), 1);
@@ -84,59 +84,60 @@
 }
 END_TEST
 
-START_TEST(relay_lag_is_measured_from_what_was_lacked_first)
+START_TEST(relay_lag_counts_from_first_missing_revision)
 {
     relay_lag_t lag = {0};
-    ck_assert(!relay_lag_asks(&lag, 60, 10000));
-    relay_lag_notice(&lag, 50, 1000);
-    relay_lag_notice(&lag, 60, 1300);
-    relay_lag_reached(&lag, 49); /* a change of long ago */
-    ck_assert(!relay_lag_asks(&lag, 60, 1449));
-    ck_assert(relay_lag_asks(&lag, 60, 1450));
+    ck_assert(!relay_lag_should_pull(&lag, 60, 10000));
+    relay_lag_detected(&lag, 50, 1000);
+    relay_lag_detected(&lag, 60, 1300);
+    relay_lag_reached(&lag, 49); /* an old change */
+    ck_assert(!relay_lag_should_pull(&lag, 60, 1449));
+    ck_assert(relay_lag_should_pull(&lag, 60, 1450));
     relay_lag_reached(&lag, 50);
-    ck_assert(!relay_lag_asks(&lag, 60, 10000));
-    relay_lag_notice(&lag, 60, 1500);
-    ck_assert(!relay_lag_asks(&lag, 60, 1949));
-    ck_assert(relay_lag_asks(&lag, 60, 1950));
+    ck_assert(!relay_lag_should_pull(&lag, 60, 10000));
+    relay_lag_detected(&lag, 60, 1500);
+    ck_assert(!relay_lag_should_pull(&lag, 60, 1949));
+    ck_assert(relay_lag_should_pull(&lag, 60, 1950));
 }
 END_TEST
 
-START_TEST(relay_lag_asks_only_who_has_what_is_lacked)
+START_TEST(relay_lag_pulls_only_from_peers_with_the_revision)
 {
     relay_lag_t lag = {0};
-    relay_lag_notice(&lag, 50, 1000);
-    ck_assert(!relay_lag_asks(&lag, 49, 5000));
-    ck_assert(relay_lag_asks(&lag, 50, 5000));
+    relay_lag_detected(&lag, 50, 1000);
+    ck_assert(!relay_lag_should_pull(&lag, 49, 5000));
+    ck_assert(relay_lag_should_pull(&lag, 50, 5000));
 }
 END_TEST
 
-START_TEST(relay_lag_waits_out_the_pause_after_a_large_change)
+START_TEST(relay_lag_waits_for_pause_after_large_change)
 {
-    enum { CONFIGURATION = 14400 }; /* bytes; the users' of 72 routes */
+    enum { CONFIGURATION = 14400 }; /* bytes; a configuration of 72 routes */
     relay_lag_t lag = {0};
-    relay_lag_change(&lag, CONFIGURATION, 1000);
-    relay_lag_notice(&lag, 50, 1000);
-    ck_assert(!relay_lag_asks(&lag, 50, 1450));
-    ck_assert(relay_lag_asks(&lag, 50, 1000 + 404 + 450));
-    /* However large, an instance asks in time. */
-    relay_lag_change(&lag, (size_t)100 * LARGE, 1000);
-    ck_assert(relay_lag_asks(&lag, 50, 2450));
+    relay_lag_change_received(&lag, CONFIGURATION, 1000);
+    relay_lag_detected(&lag, 50, 1000);
+    ck_assert(!relay_lag_should_pull(&lag, 50, 1450));
+    ck_assert(relay_lag_should_pull(&lag, 50, 1000 + 404 + 450));
+    /* The delay is bounded for a change of any size. */
+    relay_lag_change_received(&lag, (size_t)100 * LARGE, 1000);
+    ck_assert(relay_lag_should_pull(&lag, 50, 2450));
 }
 END_TEST
 
-START_TEST(relay_lag_forgets_a_large_change)
+START_TEST(relay_lag_delay_after_large_change_is_bounded)
 {
     relay_lag_t lag = {0};
-    relay_lag_change(&lag, LARGE, 1000);
-    relay_lag_notice(&lag, 50, 60000);
-    ck_assert(relay_lag_asks(&lag, 50, 60450));
-    /* Small ones have no pause, and large ones that keep coming do not put it off for ever. */
-    relay_lag_change(&lag, SMALL, 60100);
-    ck_assert(relay_lag_asks(&lag, 50, 60450));
+    relay_lag_change_received(&lag, LARGE, 1000);
+    relay_lag_detected(&lag, 50, 60000);
+    ck_assert(relay_lag_should_pull(&lag, 50, 60450));
+    /* Small changes cause no pause, and a series of large ones does not delay the pull
+     * indefinitely. */
+    relay_lag_change_received(&lag, SMALL, 60100);
+    ck_assert(relay_lag_should_pull(&lag, 50, 60450));
     for (uint64_t now_ms = 60200; now_ms <= 61400; now_ms += 200)
-        relay_lag_change(&lag, LARGE, now_ms);
-    ck_assert(!relay_lag_asks(&lag, 50, 61449));
-    ck_assert(relay_lag_asks(&lag, 50, 61450));
+        relay_lag_change_received(&lag, LARGE, now_ms);
+    ck_assert(!relay_lag_should_pull(&lag, 50, 61449));
+    ck_assert(relay_lag_should_pull(&lag, 50, 61450));
 }
 END_TEST
 
@@ -147,12 +148,12 @@
     TCase *tests = tcase_create("relay");
     tcase_add_test(tests, relay_reaches_every_instance);
     tcase_add_test(tests, relay_sends_few_copies_of_a_large_change);
-    tcase_add_test(tests, relay_sends_a_small_change_straight);
-    tcase_add_test(tests, relay_pauses_in_proportion_to_what_it_sent);
-    tcase_add_test(tests, relay_lag_is_measured_from_what_was_lacked_first);
-    tcase_add_test(tests, relay_lag_asks_only_who_has_what_is_lacked);
-    tcase_add_test(tests, relay_lag_waits_out_the_pause_after_a_large_change);
-    tcase_add_test(tests, relay_lag_forgets_a_large_change);
+    tcase_add_test(tests, relay_sends_small_changes_directly);
+    tcase_add_test(tests, relay_pause_is_proportional_to_bytes_sent);
+    tcase_add_test(tests, relay_lag_counts_from_first_missing_revision);
+    tcase_add_test(tests, relay_lag_pulls_only_from_peers_with_the_revision);
+    tcase_add_test(tests, relay_lag_waits_for_pause_after_large_change);
+    tcase_add_test(tests, relay_lag_delay_after_large_change_is_bounded);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_retry.c
+++ b/test/gateway/test_retry.c
@@ -1,4 +1,4 @@
-/* Retry budget and the decision to retry. */
+/* Retry budget and retry decisions. */
 #include "gateway/policy/retry.h"
 #include "test/suites.h"
 
@@ -14,15 +14,15 @@
     ck_assert_uint_ge(taken, 100);
     ck_assert_uint_le(taken, 200 + 58 / 9);
     ck_assert(!retry_budget_take(&budget, &terms, 58000));
-    ck_assert(retry_budget_take(&budget, &terms, 75000)); /* the part of the constant */
+    ck_assert(retry_budget_take(&budget, &terms, 75000)); /* this instance's part of the constant */
 }
 END_TEST
 
-/* Found on the users' bench: a send in place of an overdue attempt was not counted. */
-START_TEST(replacing_an_overdue_attempt_takes_from_the_budget)
+/* A send in place of an overdue attempt must count against the budget. */
+START_TEST(overdue_replacement_consumes_retry_budget)
 {
     retry_budget_t budget = {0};
-    const retry_account_t account = {
+    const retry_context_t context = {
         .budget = &budget,
         .terms = {.ratio = 0.2, .window_ms = 10000, .instances = 1},
         .now_ms = 50000,
@@ -32,18 +32,18 @@
         .sent = true,
         .backend_avoided = true,
     };
-    ck_assert_int_eq(retry_decide_overdue(&overdue, &account), RETRY_OVER_BUDGET);
+    ck_assert_int_eq(retry_decide_overdue(&overdue, &context), RETRY_OVER_BUDGET);
     for (int i = 0; i < 7; i++)
-        retry_budget_count_request(&budget, &account.terms, account.now_ms);
-    ck_assert_int_eq(retry_decide_overdue(&overdue, &account), RETRY_YES);
-    ck_assert_int_eq(retry_decide_overdue(&overdue, &account), RETRY_OVER_BUDGET);
-    /* An attempt that still waits for its connection has reached nobody. */
+        retry_budget_count_request(&budget, &context.terms, context.now_ms);
+    ck_assert_int_eq(retry_decide_overdue(&overdue, &context), RETRY_YES);
+    ck_assert_int_eq(retry_decide_overdue(&overdue, &context), RETRY_OVER_BUDGET);
+    /* An attempt that is still connecting has sent nothing. */
     overdue.sent = false;
-    ck_assert_int_eq(retry_decide_overdue(&overdue, &account), RETRY_YES);
+    ck_assert_int_eq(retry_decide_overdue(&overdue, &context), RETRY_YES);
 }
 END_TEST
 
-START_TEST(a_retry_needs_certainty_time_and_budget)
+START_TEST(retry_requires_safety_time_and_budget)
 {
     static const struct {
         retry_input_t input;
@@ -59,24 +59,25 @@
           .sends_max = 2,
           .left_ms = 500},
          RETRY_YES},
-        {{.backends_tried = 2, .sends = 2, .sends_max = 2, .left_ms = 500}, RETRY_USED_UP},
+        {{.backends_tried = 2, .sends = 2, .sends_max = 2, .left_ms = 500},
+         RETRY_ATTEMPTS_EXHAUSTED},
         {{.backends_tried = 3, .sends_max = 2, .left_ms = 500}, RETRY_YES},
-        {{.backends_tried = 4, .sends_max = 2, .left_ms = 500}, RETRY_USED_UP},
+        {{.backends_tried = 4, .sends_max = 2, .left_ms = 500}, RETRY_ATTEMPTS_EXHAUSTED},
         {{.backends_tried = 1, .sends = 1, .sends_max = 2, .left_ms = 59}, RETRY_NO_TIME},
     };
     for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
         retry_budget_t budget = {0};
-        const retry_account_t account = {
+        const retry_context_t context = {
             .budget = &budget,
             .terms = {.constant = 2, .window_ms = 10000, .instances = 1},
             .now_ms = 50000,
         };
-        ck_assert_int_eq(retry_decide(&rows[i].input, &account), rows[i].expected);
+        ck_assert_int_eq(retry_decide(&rows[i].input, &context), rows[i].expected);
     }
 }
 END_TEST
 
-START_TEST(a_backends_own_failure_is_replaced_only_if_nothing_was_passed_on)
+START_TEST(backend_error_is_retried_only_before_forwarding)
 {
     ck_assert(retry_replaces_answer(500, true, false));
     ck_assert(!retry_replaces_answer(500, false, false));
@@ -86,24 +87,24 @@
 }
 END_TEST
 
-START_TEST(a_held_request_is_not_sent_again)
+START_TEST(quarantined_request_is_not_retried)
 {
     retry_budget_t budget = {0};
-    const retry_account_t account = {
+    const retry_context_t context = {
         &budget, {.ratio = 1, .constant = 100, .window_ms = 10000, .instances = 1}, 1000};
     retry_input_t input = {.repeatable = true, .sends = 1, .sends_max = 3, .left_ms = 1000};
     input.backends_tried = 1;
-    ck_assert_int_eq(retry_decide(&input, &account), RETRY_YES);
-    input.held = true;
-    ck_assert_int_eq(retry_decide(&input, &account), RETRY_HELD);
+    ck_assert_int_eq(retry_decide(&input, &context), RETRY_YES);
+    input.quarantined = true;
+    ck_assert_int_eq(retry_decide(&input, &context), RETRY_QUARANTINED);
 }
 END_TEST
 
-START_TEST(after_a_close_the_next_attempt_waits_a_moment)
+START_TEST(retry_after_close_is_delayed)
 {
     ck_assert_uint_eq(retry_after_ms(false), 0);
     ck_assert_uint_gt(retry_after_ms(true), 0);
-    ck_assert_uint_lt(retry_after_ms(true), 60); /* the time that must be left */
+    ck_assert_uint_lt(retry_after_ms(true), 60); /* the time that must be left for an attempt */
 }
 END_TEST
 
@@ -112,12 +113,12 @@
 {
     Suite *suite = suite_create("gateway: retry");
     TCase *tests = tcase_create("retry");
-    tcase_add_test(tests, a_held_request_is_not_sent_again);
-    tcase_add_test(tests, after_a_close_the_next_attempt_waits_a_moment);
+    tcase_add_test(tests, quarantined_request_is_not_retried);
+    tcase_add_test(tests, retry_after_close_is_delayed);
     tcase_add_test(tests, retry_budget_bounds_every_window);
-    tcase_add_test(tests, replacing_an_overdue_attempt_takes_from_the_budget);
-    tcase_add_test(tests, a_retry_needs_certainty_time_and_budget);
-    tcase_add_test(tests, a_backends_own_failure_is_replaced_only_if_nothing_was_passed_on);
+    tcase_add_test(tests, overdue_replacement_consumes_retry_budget);
+    tcase_add_test(tests, retry_requires_safety_time_and_budget);
+    tcase_add_test(tests, backend_error_is_retried_only_before_forwarding);
     suite_add_tcase(suite, tests);
     return suite;
 }
