--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -96,7 +96,7 @@
 
 /* Sums only: accounts come and go, and would each be a line for ever. */
 static void
-set_account_gauges(const account_news_t *accounts)
+set_account_gauges(const account_sync_t *accounts)
 {
     const account_uses_t *uses = accounts->conf.uses;
     int64_t limited = 0;
--- a/gateway/admin.h
+++ b/gateway/admin.h
@@ -8,7 +8,7 @@
 #pragma once
 
 #include "gateway/path/exchange.h"
-#include "gateway/membership/account_news.h"
+#include "gateway/membership/account_sync.h"
 #include "gateway/membership/heartbeat.h"
 #include "wire/listener.h"
 
@@ -20,7 +20,7 @@
     const heartbeat_t *heartbeat;
     const exchanges_t *exchanges;
     suspects_t *suspects;
-    const account_news_t *accounts;
+    const account_sync_t *accounts;
     const wire_listener_t *callers;
 } admin_t;
 
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -223,7 +223,7 @@
 init_accounts(gateway_t *gateway)
 {
     const gateway_settings_t *settings = &gateway->settings;
-    const account_news_conf_t conf = {
+    const account_sync_conf_t conf = {
         .loop = gateway->loop,
         .members = &gateway->members,
         .uses = &gateway->account_uses,
@@ -235,7 +235,7 @@
         .region = gateway->router.region,
         .incarnation = gateway->heartbeat.conf.incarnation,
     };
-    account_news_init(&gateway->account_news, &conf);
+    account_sync_init(&gateway->account_news, &conf);
     peer_hub_on_refused(gateway->hub, gateway_on_peer_refused);
 }
 
--- a/gateway/gateway_news.c
+++ b/gateway/gateway_news.c
@@ -110,7 +110,7 @@
     gateway_t *gateway = ctx;
     for (size_t i = 0; i < gateway->members.count; i++) {
         if (addr_eq(&gateway->members.items[i].peer, to))
-            account_news_on_refused(&gateway->account_news, &gateway->members.items[i]);
+            account_sync_on_connection_refused(&gateway->account_news, &gateway->members.items[i]);
     }
 }
 
@@ -140,13 +140,13 @@
         suspect_news_receive(&gateway->suspect_news, message->suspects);
         break;
     case IRIS__ENVELOPE__BODY_ACCOUNT_REPORT:
-        account_news_on_report(&gateway->account_news, conn, message->account_report);
+        account_sync_on_report(&gateway->account_news, conn, message->account_report);
         break;
     case IRIS__ENVELOPE__BODY_ACCOUNT_GRANTS:
-        account_news_on_grants(&gateway->account_news, message->account_grants);
+        account_sync_on_grants(&gateway->account_news, message->account_grants);
         break;
     case IRIS__ENVELOPE__BODY_ACCOUNT_EXCHANGE:
-        account_news_on_exchange(&gateway->account_news, message->account_exchange);
+        account_sync_on_exchange(&gateway->account_news, message->account_exchange);
         break;
     case IRIS__ENVELOPE__BODY_BACKEND_NOTICES:
         notice_news_receive(&gateway->notice_news, message->backend_notices);
--- a/gateway/gateway_state.h
+++ b/gateway/gateway_state.h
@@ -10,7 +10,7 @@
 #include "gateway/deferred.h"
 #include "gateway/gateway.h"
 #include "gateway/listeners.h"
-#include "gateway/membership/account_news.h"
+#include "gateway/membership/account_sync.h"
 #include "gateway/membership/discovery.h"
 #include "gateway/membership/notice_news.h"
 #include "gateway/membership/permit_exchange.h"
@@ -35,7 +35,7 @@
     notice_news_t notice_news;
     permit_exchange_t permit_exchange;
     account_uses_t account_uses;
-    account_news_t account_news;
+    account_sync_t account_news;
     peer_hub_t *hub;
     listeners_t listeners;
     resume_t resume;
--- a/gateway/gateway_work.c
+++ b/gateway/gateway_work.c
@@ -88,7 +88,7 @@
     store_watch_tick(&gateway->store_watch);
     view_push_tick(&gateway->view_push);
     gateway->account_uses.instances = gateway->router.instances;
-    account_news_tick(&gateway->account_news);
+    account_sync_tick(&gateway->account_news);
     suspects_tick(&gateway->suspects, now_ms);
     suspect_news_tell(&gateway->suspect_news);
     notice_news_tell(&gateway->notice_news);
--- a/gateway/inspect_accounts.c
+++ b/gateway/inspect_accounts.c
@@ -5,7 +5,7 @@
 #include "base/loop_time.h"
 
 static const char *
-name_of(const account_news_t *news, uint64_t incarnation)
+name_of(const account_sync_t *news, uint64_t incarnation)
 {
     for (size_t i = 0; i < news->conf.members->count; i++) {
         const member_t *member = &news->conf.members->items[i];
@@ -24,7 +24,7 @@
 }
 
 static void
-print_use(const account_news_t *news, const account_use_t *use, const config_account_t *account,
+print_use(const account_sync_t *news, const account_use_t *use, const config_account_t *account,
           wire_text_t *out)
 {
     wire_text_printf(out, "%-24s %8.1f %8.0f %10" PRIu64 " %8" PRIu64 " %8.2f %8.1f  %-12s %s\n",
@@ -35,7 +35,7 @@
 
 /* What the owner knows, where this instance is the owner in its region. */
 static void
-print_ledger(const account_news_t *news, const ledger_t *ledger, wire_text_t *out)
+print_ledger(const account_sync_t *news, const ledger_t *ledger, wire_text_t *out)
 {
     const uint64_t now_ms = loop_now(news->conf.loop);
     wire_text_printf(out, "owned here: room %.1f of %.1f, asked %.1f/s here, %.1f/s everywhere\n",
@@ -55,7 +55,7 @@
 }
 
 void
-inspect_accounts(const account_news_t *news, str_t account, wire_text_t *out)
+inspect_accounts(const account_sync_t *news, str_t account, wire_text_t *out)
 {
     const config_t *config = news->conf.catalog->config;
     if (config == NULL || !config->has_accounts) {
--- a/gateway/inspect_accounts.h
+++ b/gateway/inspect_accounts.h
@@ -6,9 +6,9 @@
  */
 #pragma once
 
-#include "gateway/membership/account_news.h"
+#include "gateway/membership/account_sync.h"
 #include "wire/head.h"
 
 /* A line for each account in use, or for one and what its owner knows of it here if `account` is
  * not empty. */
-void inspect_accounts(const account_news_t *news, str_t account, wire_text_t *out);
+void inspect_accounts(const account_sync_t *news, str_t account, wire_text_t *out);
--- a/gateway/membership/account_exchange.c
+++ b/gateway/membership/account_exchange.c
@@ -4,7 +4,7 @@
  * Each owner tells its sums to those that it hears, and in a region where it hears none to one
  * instance after the other until an owner answers: who is not the owner sends the message on, once.
  */
-#include "gateway/membership/account_parts.h"
+#include "gateway/membership/account_sync_internal.h"
 
 #include <stdlib.h>
 
@@ -12,46 +12,46 @@
 #include "base/xmalloc.h"
 
 enum {
-    HEARD_MS =
-        1200,     /* an owner heard within this time is told; as long as SILENT_MS of the ledgers */
-    TRY_MS = 100, /* how long one instance of a silent region is tried */
-    PACKED_MAX = 256, /* sums in one message: 8 kB */
+    PEER_EXPIRE_MS =
+        1200, /* an owner heard within this time is told; as long as SILENT_MS of the ledgers */
+    CANDIDATE_TRY_MS = 100,     /* how long one instance of a silent region is tried */
+    SUMS_PER_MESSAGE_MAX = 256, /* sums in one message: 8 kB */
 };
 
 /* One sum on its way to one instance. */
 typedef struct {
     addr_t to;
     Iris__AccountSum sum;
-} parcel_t;
+} queued_sum_t;
 
 typedef struct {
-    parcel_t *items;
+    queued_sum_t *items;
     size_t count;
     size_t size;
-} parcels_t;
+} sum_queue_t;
 
 static void
-add_parcel(parcels_t *parcels, const addr_t *to, const Iris__AccountSum *sum)
+queue_push(sum_queue_t *queue, const addr_t *to, const Iris__AccountSum *sum)
 {
-    if (parcels->count == parcels->size) {
-        parcels->size = parcels->size > 0 ? parcels->size * 2 : 16;
-        parcels->items = xrealloc(parcels->items, parcels->size * sizeof(*parcels->items));
+    if (queue->count == queue->size) {
+        queue->size = queue->size > 0 ? queue->size * 2 : 16;
+        queue->items = xrealloc(queue->items, queue->size * sizeof(*queue->items));
     }
-    parcels->items[parcels->count++] = (parcel_t){*to, *sum};
+    queue->items[queue->count++] = (queued_sum_t){*to, *sum};
 }
 
 static int
-by_receiver(const void *left, const void *right)
+compare_receivers(const void *left, const void *right)
 {
-    return addr_order(&((const parcel_t *)left)->to, &((const parcel_t *)right)->to);
+    return addr_order(&((const queued_sum_t *)left)->to, &((const queued_sum_t *)right)->to);
 }
 
-/* Sends the parcels, those of a receiver together, and frees them. */
+/* Sends the queue, those of a receiver together, and frees them. */
 static void
-send_parcels(account_news_t *news, parcels_t *parcels, const char *place, const char *address,
-             bool forwarded)
+send_queue(account_sync_t *sync, sum_queue_t *queue, const char *place, const char *address,
+           bool forwarded)
 {
-    Iris__AccountSum *list[PACKED_MAX];
+    Iris__AccountSum *list[SUMS_PER_MESSAGE_MAX];
     Iris__AccountExchange message = IRIS__ACCOUNT_EXCHANGE__INIT;
     Iris__Envelope envelope = IRIS__ENVELOPE__INIT;
     envelope.schema = PEER_SCHEMA;
@@ -61,50 +61,50 @@
     message.address = (char *)(uintptr_t)address;
     message.forwarded = forwarded;
     message.sums = list;
-    if (parcels->count > 0)
-        qsort(parcels->items, parcels->count, sizeof(*parcels->items), by_receiver);
-    for (size_t i = 0; i < parcels->count; i++) {
-        list[message.n_sums++] = &parcels->items[i].sum;
+    if (queue->count > 0)
+        qsort(queue->items, queue->count, sizeof(*queue->items), compare_receivers);
+    for (size_t i = 0; i < queue->count; i++) {
+        list[message.n_sums++] = &queue->items[i].sum;
         const bool more =
-            i + 1 < parcels->count && by_receiver(&parcels->items[i], &parcels->items[i + 1]) == 0;
-        if (more && message.n_sums < PACKED_MAX)
+            i + 1 < queue->count && compare_receivers(&queue->items[i], &queue->items[i + 1]) == 0;
+        if (more && message.n_sums < SUMS_PER_MESSAGE_MAX)
             continue;
-        peer_send(news->conf.hub, &parcels->items[i].to, &envelope);
+        peer_send(sync->conf.hub, &queue->items[i].to, &envelope);
         message.n_sums = 0;
     }
-    free(parcels->items);
+    free(queue->items);
 }
 
 member_t *
-account_exchange_owner(const account_news_t *news, uint64_t account)
+account_exchange_find_owner(const account_sync_t *sync, uint64_t account)
 {
     const owner_input_t input = {
-        .members = news->conf.members,
+        .members = sync->conf.members,
         .kind = OWNER_OF_ACCOUNT,
         .key = account,
-        .region = news->conf.region,
+        .region = sync->conf.region,
         .is_judged = true,
-        .now_ms = loop_now(news->conf.loop),
+        .now_ms = loop_now(sync->conf.loop),
     };
     return owner_find(&input);
 }
 
 static bool
-is_self(const account_news_t *news, const member_t *member)
+is_self(const account_sync_t *sync, const member_t *member)
 {
-    return member != NULL && addr_eq(&member->peer, &news->conf.own);
+    return member != NULL && addr_eq(&member->peer, &sync->conf.own);
 }
 
 /* Whom to try in a region where no owner is heard. */
 static const member_t *
-candidate(const account_news_t *news, const ledger_t *ledger, size_t region, uint64_t now_ms)
+pick_candidate(const account_sync_t *sync, const ledger_t *ledger, size_t region, uint64_t now_ms)
 {
     owner_input_t input = {
-        .members = news->conf.members,
+        .members = sync->conf.members,
         .kind = OWNER_OF_ACCOUNT,
         .key = ledger->id,
         .region = region,
-        .rank = (now_ms - ledger->begun_ms) / TRY_MS % OWNER_RANKS,
+        .rank = (now_ms - ledger->begun_ms) / CANDIDATE_TRY_MS % OWNER_RANKS,
         .now_ms = now_ms,
     };
     const member_t *member = owner_find(&input);
@@ -113,8 +113,8 @@
 }
 
 static void
-address_sum(account_news_t *news, ledger_t *ledger, parcels_t *parcels, bool leaves,
-            uint64_t now_ms)
+queue_sum(account_sync_t *sync, ledger_t *ledger, sum_queue_t *queue, bool is_release,
+          uint64_t now_ms)
 {
     bool heard[TOPOLOGY_REGIONS_MAX + 1] = {false};
     const ledger_exchange_t exchange = ledger_next_exchange(ledger, now_ms);
@@ -123,62 +123,62 @@
     sum.source = exchange.source;
     sum.used = exchange.used;
     sum.age_ms = (uint32_t)exchange.age_ms;
-    sum.asked_per_s = leaves ? 0 : (float)exchange.asked_per_s;
+    sum.asked_per_s = is_release ? 0 : (float)exchange.asked_per_s;
     sum.room = (float)exchange.room;
     for (size_t i = 0; i < ledger->peer_count; i++) {
         const ledger_peer_t *peer = &ledger->peers[i];
-        if (now_ms - peer->heard_ms > HEARD_MS)
+        if (now_ms - peer->heard_ms > PEER_EXPIRE_MS)
             continue;
         heard[peer->region] = true;
-        add_parcel(parcels, &peer->addr, &sum);
+        queue_push(queue, &peer->addr, &sum);
     }
-    for (size_t region = 0; region < news->conf.topology->region_count; region++) {
-        const member_t *member = region == news->conf.region
-                                     ? account_exchange_owner(news, ledger->id)
-                                     : candidate(news, ledger, region, now_ms);
-        if (!heard[region] && member != NULL && !is_self(news, member))
-            add_parcel(parcels, &member->peer, &sum);
+    for (size_t region = 0; region < sync->conf.topology->region_count; region++) {
+        const member_t *member = region == sync->conf.region
+                                     ? account_exchange_find_owner(sync, ledger->id)
+                                     : pick_candidate(sync, ledger, region, now_ms);
+        if (!heard[region] && member != NULL && !is_self(sync, member))
+            queue_push(queue, &member->peer, &sum);
     }
 }
 
 static void
-send_own(account_news_t *news, parcels_t *parcels)
+send_own_queue(account_sync_t *sync, sum_queue_t *queue)
 {
     char address[ADDR_TEXT_MAX];
-    send_parcels(news, parcels, news->conf.hall.ptr, addr_format(&news->conf.own, address), false);
+    send_queue(sync, queue, sync->conf.hall.ptr, addr_format(&sync->conf.own, address), false);
 }
 
 void
-account_exchange_send(account_news_t *news)
+account_exchange_send(account_sync_t *sync)
 {
-    const uint64_t now_ms = loop_now(news->conf.loop);
-    parcels_t parcels = {0};
-    for (size_t i = 0; i < news->ledgers.count; i++) {
-        if (ledger_exchange_is_due(news->ledgers.items[i], now_ms))
-            address_sum(news, news->ledgers.items[i], &parcels, false, now_ms);
+    const uint64_t now_ms = loop_now(sync->conf.loop);
+    sum_queue_t queue = {0};
+    for (size_t i = 0; i < sync->ledgers.count; i++) {
+        if (ledger_exchange_is_due(sync->ledgers.items[i], now_ms))
+            queue_sum(sync, sync->ledgers.items[i], &queue, false, now_ms);
     }
-    send_own(news, &parcels);
+    send_own_queue(sync, &queue);
 }
 
 void
-account_exchange_leave(account_news_t *news, ledger_t *ledger)
+account_exchange_send_release(account_sync_t *sync, ledger_t *ledger)
 {
-    parcels_t parcels = {0};
-    address_sum(news, ledger, &parcels, true, loop_now(news->conf.loop));
-    send_own(news, &parcels);
+    sum_queue_t queue = {0};
+    queue_sum(sync, ledger, &queue, true, loop_now(sync->conf.loop));
+    send_own_queue(sync, &queue);
 }
 
 /* Takes a sum into the ledger; false if the account is not owned here. */
 static bool
-take_sum(account_news_t *news, const Iris__AccountSum *sum, const addr_t *from, size_t region)
+apply_sum(account_sync_t *sync, const Iris__AccountSum *sum, const addr_t *from, size_t region)
 {
-    const uint64_t now_ms = loop_now(news->conf.loop);
-    const config_t *config = news->conf.catalog->config;
+    const uint64_t now_ms = loop_now(sync->conf.loop);
+    const config_t *config = sync->conf.catalog->config;
     const config_account_t *account = config != NULL ? config_account(config, sum->account) : NULL;
     if (account == NULL)
         return true; /* not known here yet: the next one comes soon */
-    if (ledgers_find(&news->ledgers, account->id) == NULL &&
-        !is_self(news, account_exchange_owner(news, account->id)))
+    if (ledgers_find(&sync->ledgers, account->id) == NULL &&
+        !is_self(sync, account_exchange_find_owner(sync, account->id)))
         return false;
     const ledger_exchange_t exchange = {
         .source = sum->source,
@@ -189,25 +189,25 @@
         .asked_per_s = sum->asked_per_s,
         .room = sum->room,
     };
-    ledger_exchange(ledgers_get(&news->ledgers, account, now_ms), &exchange, now_ms);
+    ledger_exchange(ledgers_get(&sync->ledgers, account, now_ms), &exchange, now_ms);
     return true;
 }
 
 void
-account_news_on_exchange(account_news_t *news, const Iris__AccountExchange *message)
+account_sync_on_exchange(account_sync_t *sync, const Iris__AccountExchange *message)
 {
     addr_t from;
-    parcels_t parcels = {0};
-    const size_t region = topology_region_of(news->conf.topology, str_from(message->place));
-    if (!addr_parse(str_from(message->address), &from) || addr_eq(&from, &news->conf.own))
+    sum_queue_t queue = {0};
+    const size_t region = topology_region_of(sync->conf.topology, str_from(message->place));
+    if (!addr_parse(str_from(message->address), &from) || addr_eq(&from, &sync->conf.own))
         return;
     for (size_t i = 0; i < message->n_sums; i++) {
-        if (take_sum(news, message->sums[i], &from, region) || message->forwarded)
+        if (apply_sum(sync, message->sums[i], &from, region) || message->forwarded)
             continue;
-        const member_t *owner = account_exchange_owner(news, message->sums[i]->account);
+        const member_t *owner = account_exchange_find_owner(sync, message->sums[i]->account);
         if (owner != NULL && !addr_eq(&owner->peer, &from))
-            add_parcel(&parcels, &owner->peer, message->sums[i]);
+            queue_push(&queue, &owner->peer, message->sums[i]);
     }
-    send_parcels(news, &parcels, message->place, message->address, true);
-    account_news_own(news);
+    send_queue(sync, &queue, message->place, message->address, true);
+    account_sync_start_ledger_timer(sync);
 }
--- a/gateway/membership/account_grant.c
+++ b/gateway/membership/account_grant.c
@@ -1,4 +1,4 @@
-#include "gateway/membership/account_parts.h"
+#include "gateway/membership/account_sync_internal.h"
 
 #include <stdlib.h>
 
@@ -7,9 +7,9 @@
 #include "base/xmalloc.h"
 
 static void
-fill_grant(account_news_t *news, ledger_t *ledger, uint64_t source, Iris__AccountGrant *out)
+fill_grant(account_sync_t *sync, ledger_t *ledger, uint64_t source, Iris__AccountGrant *out)
 {
-    const ledger_grant_t grant = ledger_grant(ledger, source, account_news_now(news));
+    const ledger_grant_t grant = ledger_grant(ledger, source, account_sync_now(sync));
     iris__account_grant__init(out);
     out->account = ledger->id;
     out->in_place_of = ledger_predecessor(ledger);
@@ -20,37 +20,37 @@
 }
 
 static void
-send_grant(account_news_t *news, const member_t *member, ledger_t *ledger)
+send_grant(account_sync_t *sync, const member_t *member, ledger_t *ledger)
 {
     Iris__AccountGrant grant;
     Iris__AccountGrant *list[] = {&grant};
     Iris__AccountGrants message = IRIS__ACCOUNT_GRANTS__INIT;
     Iris__Envelope envelope = IRIS__ENVELOPE__INIT;
-    fill_grant(news, ledger, member->incarnation, &grant);
-    if (addr_eq(&member->peer, &news->conf.own)) {
-        account_report_apply(news, news->conf.incarnation, &grant);
+    fill_grant(sync, ledger, member->incarnation, &grant);
+    if (addr_eq(&member->peer, &sync->conf.own)) {
+        account_report_apply_grant(sync, sync->conf.incarnation, &grant);
         return;
     }
     envelope.schema = PEER_SCHEMA;
     envelope.body_case = IRIS__ENVELOPE__BODY_ACCOUNT_GRANTS;
     envelope.account_grants = &message;
-    message.owner = news->conf.incarnation;
+    message.owner = sync->conf.incarnation;
     message.n_grants = 1;
     message.grants = list;
-    peer_send(news->conf.hub, &member->peer, &envelope);
+    peer_send(sync->conf.hub, &member->peer, &envelope);
 }
 
 static bool
-takes_grants(const account_news_t *news, const member_t *member)
+accepts_grants(const account_sync_t *sync, const member_t *member)
 {
-    return member->region == news->conf.region && member->reads_accounts &&
-           member_alive(member, account_news_now(news));
+    return member->region == sync->conf.region && member->reads_accounts &&
+           member_alive(member, account_sync_now(sync));
 }
 
 static void
-log_limited(const account_news_t *news, const ledger_t *ledger)
+log_limited(const account_sync_t *sync, const ledger_t *ledger)
 {
-    const config_account_t *account = account_news_account(news, ledger->id);
+    const config_account_t *account = account_sync_find_account(sync, ledger->id);
     LOG_INFO("account %s: account=%s rate_per_s=%.1f room=%.1f instances=%zu",
              ledger->limited ? "at its limit" : "below its limit",
              account != NULL ? account->name.ptr : "-", ledger->room.rate, ledger->room.tokens,
@@ -61,49 +61,49 @@
  * where no caller of the account has come yet, since the first request at each would be one too
  * many. */
 static void
-tell_region(account_news_t *news, ledger_t *ledger)
+send_grants_to_region(account_sync_t *sync, ledger_t *ledger)
 {
-    for (size_t i = 0; i < news->conf.members->count; i++) {
-        if (takes_grants(news, &news->conf.members->items[i]))
-            send_grant(news, &news->conf.members->items[i], ledger);
+    for (size_t i = 0; i < sync->conf.members->count; i++) {
+        if (accepts_grants(sync, &sync->conf.members->items[i]))
+            send_grant(sync, &sync->conf.members->items[i], ledger);
     }
 }
 
 /* Whoever has started since, or was not reached. */
 void
-account_grant_tell_rest(account_news_t *news, ledger_t *ledger)
+account_grant_send_to_nonusers(account_sync_t *sync, ledger_t *ledger)
 {
-    for (size_t i = 0; i < news->conf.members->count; i++) {
-        const member_t *member = &news->conf.members->items[i];
-        if (takes_grants(news, member) && !ledger_has_user(ledger, member->incarnation))
-            send_grant(news, member, ledger);
+    for (size_t i = 0; i < sync->conf.members->count; i++) {
+        const member_t *member = &sync->conf.members->items[i];
+        if (accepts_grants(sync, member) && !ledger_has_user(ledger, member->incarnation))
+            send_grant(sync, member, ledger);
     }
 }
 
 /* True if that has changed, and was told. */
 bool
-account_grant_decide(account_news_t *news, ledger_t *ledger)
+account_grant_update_limited(account_sync_t *sync, ledger_t *ledger)
 {
-    const bool changed = ledger_decide(ledger, account_news_now(news));
+    const bool changed = ledger_decide(ledger, account_sync_now(sync));
     if (changed) {
-        log_limited(news, ledger);
-        tell_region(news, ledger);
+        log_limited(sync, ledger);
+        send_grants_to_region(sync, ledger);
     }
     return changed;
 }
 
 /* Counts one line of a report and fills its answer. */
 void
-account_grant_take(account_news_t *news, uint64_t source, const Iris__AccountUse *use,
-                   Iris__AccountGrant *answer)
+account_grant_record_use(account_sync_t *sync, uint64_t source, const Iris__AccountUse *use,
+                         Iris__AccountGrant *answer)
 {
-    const uint64_t now_ms = account_news_now(news);
-    const config_account_t *account = account_news_account(news, use->account);
+    const uint64_t now_ms = account_sync_now(sync);
+    const config_account_t *account = account_sync_find_account(sync, use->account);
     iris__account_grant__init(answer);
     answer->account = use->account;
     answer->unknown = true;
     if (use->leaves) {
-        ledger_t *ledger = ledgers_find(&news->ledgers, use->account);
+        ledger_t *ledger = ledgers_find(&sync->ledgers, use->account);
         if (ledger != NULL)
             ledger_forget_user(ledger, source);
     } else if (account != NULL) {
@@ -118,25 +118,25 @@
             .share_per_s = use->share_per_s,
             .region_per_s = use->region_per_s,
         };
-        ledger_t *ledger = ledgers_get(&news->ledgers, account, now_ms);
+        ledger_t *ledger = ledgers_get(&sync->ledgers, account, now_ms);
         ledger_set_limit(ledger, account, now_ms);
         const uint64_t before = ledger_predecessor(ledger);
         ledger_report(ledger, source, &report, now_ms);
-        if (!account_grant_decide(news, ledger) && ledger_predecessor(ledger) != before)
-            tell_region(news, ledger);
-        fill_grant(news, ledger, source, answer);
+        if (!account_grant_update_limited(sync, ledger) && ledger_predecessor(ledger) != before)
+            send_grants_to_region(sync, ledger);
+        fill_grant(sync, ledger, source, answer);
     }
     answer->told_used = use->used;
     answer->has_told = true;
 }
 
 void
-account_news_on_report(account_news_t *news, peer_conn_t *conn, const Iris__AccountReport *message)
+account_sync_on_report(account_sync_t *sync, peer_conn_t *conn, const Iris__AccountReport *message)
 {
     Iris__AccountGrant *grants = xcalloc(message->n_uses + 1, sizeof(*grants));
     Iris__AccountGrant **list = xcalloc(message->n_uses + 1, sizeof(*list));
     for (size_t i = 0; i < message->n_uses; i++) {
-        account_grant_take(news, message->source, message->uses[i], &grants[i]);
+        account_grant_record_use(sync, message->source, message->uses[i], &grants[i]);
         list[i] = &grants[i];
     }
     Iris__AccountGrants answer = IRIS__ACCOUNT_GRANTS__INIT;
@@ -144,11 +144,11 @@
     envelope.schema = PEER_SCHEMA;
     envelope.body_case = IRIS__ENVELOPE__BODY_ACCOUNT_GRANTS;
     envelope.account_grants = &answer;
-    answer.owner = news->conf.incarnation;
+    answer.owner = sync->conf.incarnation;
     answer.n_grants = message->n_uses;
     answer.grants = list;
     peer_reply(conn, &envelope);
     free(list);
     free(grants);
-    account_news_own(news);
+    account_sync_start_ledger_timer(sync);
 }
--- a/gateway/membership/account_news.h
+++ b/gateway/membership/account_sync.h
@@ -36,23 +36,23 @@
     name_t hall;
     size_t region;
     uint64_t incarnation;
-} account_news_conf_t;
+} account_sync_conf_t;
 
 typedef struct {
-    account_news_conf_t conf;
+    account_sync_conf_t conf;
     ledgers_t ledgers;
-    uv_timer_t reports; /* runs while there is something to report, or an answer is missing */
-    uv_timer_t work;    /* runs while this instance owns an account */
+    uv_timer_t report_timer; /* runs while there is something to report, or an answer is missing */
+    uv_timer_t ledger_timer; /* runs while this instance owns an account */
     uint64_t reviewed_ms;
-} account_news_t;
+} account_sync_t;
 
-void account_news_init(account_news_t *news, const account_news_conf_t *conf);
+void account_sync_init(account_sync_t *sync, const account_sync_conf_t *conf);
 /* A peer reports its use: it is answered on its connection. */
-void account_news_on_report(account_news_t *news, peer_conn_t *conn,
+void account_sync_on_report(account_sync_t *sync, peer_conn_t *conn,
                             const Iris__AccountReport *message);
-void account_news_on_grants(account_news_t *news, const Iris__AccountGrants *message);
-void account_news_on_exchange(account_news_t *news, const Iris__AccountExchange *message);
+void account_sync_on_grants(account_sync_t *sync, const Iris__AccountGrants *message);
+void account_sync_on_exchange(account_sync_t *sync, const Iris__AccountExchange *message);
 /* A connection to the member was refused: its process has ended, and spends nothing any more. */
-void account_news_on_refused(account_news_t *news, member_t *member);
+void account_sync_on_connection_refused(account_sync_t *sync, member_t *member);
 /* Regular work. */
-void account_news_tick(account_news_t *news);
+void account_sync_tick(account_sync_t *sync);
--- a/gateway/membership/permit_exchange.c
+++ b/gateway/membership/permit_exchange.c
@@ -10,16 +10,16 @@
 enum {
     /* Until the next request after one without an answer, or where no owner is known: an owner that
      * stands still is counted as lost after 1.8 s. */
-    UNANSWERED_MS = 500,
+    RETRY_DELAY_MS = 500,
     /* Requests of one instance for one backend server that wait: others would wait in vain. */
-    ASKED_MAX = 8,
+    PENDING_MAX = 8,
     /* An instance that fell silent may be on the other side of a cut for so long; regions lose each
      * other for minutes. */
-    KNOWN_MS = 600000,
+    MEMBER_EXPIRE_MS = 600000,
 };
 
-struct permit_wait {
-    permit_wait_t *next;
+struct pending_permit {
+    pending_permit_t *next;
     permit_exchange_t *exchange;
     uint64_t number;
     uint64_t asked_ms;
@@ -29,7 +29,7 @@
 };
 
 static uint64_t
-now_of(const permit_exchange_t *exchange)
+current_ms(const permit_exchange_t *exchange)
 {
     return loop_now(exchange->conf.loop);
 }
@@ -67,7 +67,7 @@
 /* Of another region of a large fleet the next one is asked after each that gave no answer: whoever
  * lives there sends the request on. */
 static const member_t *
-owner_of(const permit_exchange_t *exchange, const backend_t *backend)
+find_owner(const permit_exchange_t *exchange, const backend_t *backend)
 {
     const members_t *members = exchange->conf.members;
     const size_t region = owner_region(exchange, backend->region);
@@ -78,7 +78,7 @@
         .region = region,
         .is_judged = region == exchange->conf.region || members->count <= MEMBERS_MESH,
         .rank = backend->permits_unanswered % OWNER_RANKS,
-        .now_ms = now_of(exchange),
+        .now_ms = current_ms(exchange),
     };
     const member_t *owner = owner_find(&input);
     input.rank = 0;
@@ -92,16 +92,16 @@
 }
 
 static permit_rate_t
-rate_of(const permit_exchange_t *exchange, double limit_per_s)
+compute_rate(const permit_exchange_t *exchange, double limit_per_s)
 {
     const members_t *members = exchange->conf.members;
-    const uint64_t now_ms = now_of(exchange);
+    const uint64_t now_ms = current_ms(exchange);
     size_t known = 0;
     size_t heard = 0;
     for (size_t i = 0; i < members->count; i++) {
         const member_t *member = &members->items[i];
         if (!member->heard || member->region != exchange->conf.region || member->refuses ||
-            now_ms - member->heard_ms > KNOWN_MS)
+            now_ms - member->heard_ms > MEMBER_EXPIRE_MS)
             continue;
         known++;
         heard += member_alive(member, now_ms);
@@ -111,18 +111,18 @@
 
 /* Gives or refuses a permit as the owner. */
 static bool
-take(permit_exchange_t *exchange, const notice_t *notice, uint32_t *wait_ms)
+take_permit(permit_exchange_t *exchange, const notice_t *notice, uint32_t *wait_ms)
 {
     if (!notice->limit.named)
         return true;
-    const permit_rate_t rate = rate_of(exchange, notice->limit.per_s);
+    const permit_rate_t rate = compute_rate(exchange, notice->limit.per_s);
     const uint64_t life = backend_life(name_str(&notice->backend), notice->born);
-    return permits_take(&exchange->permits, life, rate, now_of(exchange), wait_ms);
+    return permits_take(&exchange->permits, life, rate, current_ms(exchange), wait_ms);
 }
 
 /* What is known here of the backend that a notice is about; the notice itself if nothing is. */
 static notice_t
-known_of(const permit_exchange_t *exchange, const notice_t *notice)
+newest_notice(const permit_exchange_t *exchange, const notice_t *notice)
 {
     const notice_t *known =
         notices_find(&exchange->conf.catalog->notices, name_str(&notice->backend), notice->born);
@@ -130,18 +130,18 @@
 }
 
 static void
-answer(permit_exchange_t *exchange, peer_conn_t *conn, const Iris__PermitRequest *request,
-       const notice_t *notice)
+send_answer(permit_exchange_t *exchange, peer_conn_t *conn, const Iris__PermitRequest *request,
+            const notice_t *notice)
 {
     Iris__PermitAnswer message = IRIS__PERMIT_ANSWER__INIT;
     Iris__BackendNotice known;
     Iris__Envelope envelope = IRIS__ENVELOPE__INIT;
     addr_t address;
-    const notice_t own = known_of(exchange, notice);
-    notice_message_fill(&known, &own, now_of(exchange));
+    const notice_t own = newest_notice(exchange, notice);
+    notice_message_fill(&known, &own, current_ms(exchange));
     message.notice = &known;
     message.number = request->number;
-    message.given = take(exchange, &own, &message.wait_ms);
+    message.given = take_permit(exchange, &own, &message.wait_ms);
     envelope.schema = PEER_SCHEMA;
     envelope.body_case = IRIS__ENVELOPE__BODY_PERMIT_ANSWER;
     envelope.permit_answer = &message;
@@ -170,7 +170,7 @@
 {
     const backend_t *backend =
         backends_find(&exchange->conf.catalog->backends, name_str(&notice->backend));
-    const member_t *owner = backend != NULL ? owner_of(exchange, backend) : NULL;
+    const member_t *owner = backend != NULL ? find_owner(exchange, backend) : NULL;
     if (owner == NULL || is_self(exchange, owner) || request->forwarded)
         return owner != NULL && !is_self(exchange, owner);
     Iris__PermitRequest copy = *request;
@@ -184,17 +184,18 @@
                            const Iris__PermitRequest *message)
 {
     notice_t notice;
-    if (message->notice == NULL || !notice_message_read(message->notice, &notice, now_of(exchange)))
+    if (message->notice == NULL ||
+        !notice_message_read(message->notice, &notice, current_ms(exchange)))
         return;
     catalog_take_notice(exchange->conf.catalog, &notice, NOTICE_OF_PERMIT);
     if (!forward(exchange, message, &notice))
-        answer(exchange, conn, message, &notice);
+        send_answer(exchange, conn, message, &notice);
 }
 
 /* ---- who asks ---- */
 
 static notice_t
-notice_of(const backend_t *backend)
+make_notice(const backend_t *backend)
 {
     return (notice_t){
         .backend = backend->info.id,
@@ -204,114 +205,115 @@
     };
 }
 
-static permit_wait_t *
-add_wait(permit_exchange_t *exchange, backend_t *backend)
+static pending_permit_t *
+add_pending(permit_exchange_t *exchange, backend_t *backend)
 {
-    permit_wait_t *wait = xcalloc(1, sizeof(*wait));
-    wait->exchange = exchange;
-    wait->next = exchange->waits;
-    wait->number = ++exchange->number;
-    wait->asked_ms = now_of(exchange);
-    wait->backend = backend_ref(backend);
+    pending_permit_t *pending = xcalloc(1, sizeof(*pending));
+    pending->exchange = exchange;
+    pending->next = exchange->pending;
+    pending->number = ++exchange->last_number;
+    pending->asked_ms = current_ms(exchange);
+    pending->backend = backend_ref(backend);
     backend->permits_asked++;
-    exchange->waits = wait;
-    return wait;
+    exchange->pending = pending;
+    return pending;
 }
 
 static void
-drop_wait(permit_wait_t *wait)
+remove_pending(pending_permit_t *pending)
 {
-    permit_wait_t **slot = &wait->exchange->waits;
-    while (*slot != wait)
+    pending_permit_t **slot = &pending->exchange->pending;
+    while (*slot != pending)
         slot = &(*slot)->next;
-    *slot = wait->next;
-    wait->backend->permits_asked--;
-    backend_unref(wait->backend);
-    free(wait);
+    *slot = pending->next;
+    pending->backend->permits_asked--;
+    backend_unref(pending->backend);
+    free(pending);
 }
 
 static void
-refuse(const permit_exchange_t *exchange, backend_t *backend, uint32_t wait_ms)
+defer_requests(const permit_exchange_t *exchange, backend_t *backend, uint32_t wait_ms)
 {
-    backend->permit_from_ms = now_of(exchange) + (wait_ms > 0 ? wait_ms : 1);
+    backend->permit_from_ms = current_ms(exchange) + (wait_ms > 0 ? wait_ms : 1);
 }
 
-static permit_verdict_t
-ask_self(permit_exchange_t *exchange, backend_t *backend)
+static permit_result_t
+acquire_from_self(permit_exchange_t *exchange, backend_t *backend)
 {
     uint32_t wait_ms = 0;
-    const notice_t notice = notice_of(backend);
-    if (take(exchange, &notice, &wait_ms))
-        return PERMIT_GIVEN;
-    refuse(exchange, backend, wait_ms);
+    const notice_t notice = make_notice(backend);
+    if (take_permit(exchange, &notice, &wait_ms))
+        return PERMIT_GRANTED;
+    defer_requests(exchange, backend, wait_ms);
     return PERMIT_REFUSED;
 }
 
-permit_verdict_t
-permit_ask(permit_exchange_t *exchange, backend_t *backend, permit_cb_t cb, void *ctx,
-           permit_wait_t **wait)
+permit_result_t
+permit_acquire(permit_exchange_t *exchange, backend_t *backend, permit_cb_t cb, void *ctx,
+               pending_permit_t **pending)
 {
-    const member_t *owner = owner_of(exchange, backend);
+    const member_t *owner = find_owner(exchange, backend);
     if (owner == NULL) {
-        refuse(exchange, backend, UNANSWERED_MS);
+        defer_requests(exchange, backend, RETRY_DELAY_MS);
         return PERMIT_REFUSED;
     }
     if (is_self(exchange, owner))
-        return ask_self(exchange, backend);
-    if (backend->permits_asked >= ASKED_MAX)
+        return acquire_from_self(exchange, backend);
+    if (backend->permits_asked >= PENDING_MAX)
         return PERMIT_REFUSED;
     char address[ADDR_TEXT_MAX];
     Iris__PermitRequest message = IRIS__PERMIT_REQUEST__INIT;
     Iris__BackendNotice told;
-    const notice_t notice = notice_of(backend);
-    notice_message_fill(&told, &notice, now_of(exchange));
+    const notice_t notice = make_notice(backend);
+    notice_message_fill(&told, &notice, current_ms(exchange));
     addr_format(&exchange->conf.own, address);
-    *wait = add_wait(exchange, backend);
-    (*wait)->cb = cb;
-    (*wait)->ctx = ctx;
+    *pending = add_pending(exchange, backend);
+    (*pending)->cb = cb;
+    (*pending)->ctx = ctx;
     message.notice = &told;
-    message.number = (*wait)->number;
+    message.number = (*pending)->number;
     message.address = address;
     send_request(exchange, owner, &message);
-    return PERMIT_ASKED;
+    return PERMIT_PENDING;
 }
 
 void
-permit_cancel(permit_wait_t *wait, bool late)
+permit_cancel(pending_permit_t *pending, bool late)
 {
     if (late) {
-        wait->backend->permits_unanswered++;
-        refuse(wait->exchange, wait->backend, UNANSWERED_MS);
+        pending->backend->permits_unanswered++;
+        defer_requests(pending->exchange, pending->backend, RETRY_DELAY_MS);
     }
-    drop_wait(wait);
+    remove_pending(pending);
 }
 
-static permit_wait_t *
-find_wait(const permit_exchange_t *exchange, uint64_t number)
+static pending_permit_t *
+find_pending(const permit_exchange_t *exchange, uint64_t number)
 {
-    permit_wait_t *wait = exchange->waits;
-    while (wait != NULL && wait->number != number)
-        wait = wait->next;
-    return wait;
+    pending_permit_t *pending = exchange->pending;
+    while (pending != NULL && pending->number != number)
+        pending = pending->next;
+    return pending;
 }
 
 void
 permit_exchange_on_answer(permit_exchange_t *exchange, const Iris__PermitAnswer *message)
 {
     notice_t notice;
-    permit_wait_t *wait = find_wait(exchange, message->number);
-    if (wait == NULL)
+    pending_permit_t *pending = find_pending(exchange, message->number);
+    if (pending == NULL)
         return;
     /* An instance that stood still reads its answers before its timers run. */
     const bool given =
-        message->given && now_of(exchange) - wait->asked_ms <= (uint64_t)PERMIT_LIFE_MS;
-    const permit_cb_t cb = wait->cb;
-    void *ctx = wait->ctx;
-    wait->backend->permits_unanswered = 0;
+        message->given && current_ms(exchange) - pending->asked_ms <= (uint64_t)PERMIT_LIFE_MS;
+    const permit_cb_t cb = pending->cb;
+    void *ctx = pending->ctx;
+    pending->backend->permits_unanswered = 0;
     if (!given)
-        refuse(exchange, wait->backend, message->wait_ms);
-    drop_wait(wait);
-    if (message->notice != NULL && notice_message_read(message->notice, &notice, now_of(exchange)))
+        defer_requests(exchange, pending->backend, message->wait_ms);
+    remove_pending(pending);
+    if (message->notice != NULL &&
+        notice_message_read(message->notice, &notice, current_ms(exchange)))
         catalog_take_notice(exchange->conf.catalog, &notice, NOTICE_OF_PERMIT);
     cb(ctx, given);
 }
@@ -319,5 +321,5 @@
 void
 permit_exchange_tick(permit_exchange_t *exchange)
 {
-    permits_expire(&exchange->permits, now_of(exchange));
+    permits_expire(&exchange->permits, current_ms(exchange));
 }
--- a/gateway/membership/permit_exchange.h
+++ b/gateway/membership/permit_exchange.h
@@ -16,30 +16,30 @@
 #include "gateway/state/permits.h"
 
 /* The answer has come. Not called after permit_cancel(). */
-typedef void (*permit_cb_t)(void *ctx, bool given);
+typedef void (*permit_cb_t)(void *ctx, bool granted);
 
-typedef struct permit_wait permit_wait_t;
+typedef struct pending_permit pending_permit_t;
 
 typedef struct {
     notice_conf_t conf;
     permits_t permits;
-    permit_wait_t *waits;
-    uint64_t number; /* of the last request */
+    pending_permit_t *pending;
+    uint64_t last_number; /* of the last request */
 } permit_exchange_t;
 
 typedef enum {
-    PERMIT_GIVEN,
+    PERMIT_GRANTED,
     PERMIT_REFUSED,
-    PERMIT_ASKED, /* the callback tells */
-} permit_verdict_t;
+    PERMIT_PENDING, /* the callback tells */
+} permit_result_t;
 
 void permit_exchange_init(permit_exchange_t *exchange, const notice_conf_t *conf);
-/* A request is about to be sent to that backend. `wait` is set if an answer is to come. */
-permit_verdict_t permit_ask(permit_exchange_t *exchange, backend_t *backend, permit_cb_t cb,
-                            void *ctx, permit_wait_t **wait);
+/* A request is about to be sent to that backend. `pending` is set if an answer is to come. */
+permit_result_t permit_acquire(permit_exchange_t *exchange, backend_t *backend, permit_cb_t cb,
+                               void *ctx, pending_permit_t **pending);
 /* The answer is not wanted any more. `late`: it has not come in time, which keeps others from
  * asking for a while. */
-void permit_cancel(permit_wait_t *wait, bool late);
+void permit_cancel(pending_permit_t *pending, bool late);
 void permit_exchange_on_request(permit_exchange_t *exchange, peer_conn_t *conn,
                                 const Iris__PermitRequest *message);
 void permit_exchange_on_answer(permit_exchange_t *exchange, const Iris__PermitAnswer *message);
--- a/gateway/path/dispatch.c
+++ b/gateway/path/dispatch.c
@@ -79,14 +79,14 @@
 }
 
 /* Every send to a backend that names a limit takes a permit, also a second one of a request. */
-static permit_verdict_t
+static permit_result_t
 get_permit(exchange_t *ex, backend_t *backend)
 {
     if (!backend->limit.named)
-        return PERMIT_GIVEN;
-    const permit_verdict_t verdict =
-        permit_ask(ex->owner->permits, backend, on_permit, ex, &ex->permit);
-    if (verdict != PERMIT_ASKED)
+        return PERMIT_GRANTED;
+    const permit_result_t verdict =
+        permit_acquire(ex->owner->permits, backend, on_permit, ex, &ex->permit);
+    if (verdict != PERMIT_PENDING)
         return verdict;
     ex->permit_for = backend_ref(backend);
     ex->permit_until_ms = exchange_now_ms(ex) + PERMIT_LIFE_MS;
@@ -97,7 +97,7 @@
 void
 dispatch_next(exchange_t *ex)
 {
-    permit_verdict_t verdict = PERMIT_REFUSED;
+    permit_result_t verdict = PERMIT_REFUSED;
     while (verdict == PERMIT_REFUSED) {
         ex->choice = dispatch_choose(ex, true);
         if (ex->choice.backend == NULL) {
@@ -108,7 +108,7 @@
         verdict = get_permit(ex, ex->choice.backend);
         ex->permits_refused += verdict == PERMIT_REFUSED;
     }
-    if (verdict == PERMIT_GIVEN)
+    if (verdict == PERMIT_GRANTED)
         dispatch_send(ex, ex->choice.backend);
 }
 
--- a/gateway/path/exchange_state.h
+++ b/gateway/path/exchange_state.h
@@ -38,7 +38,7 @@
     uv_timer_t timer;         /* for the earliest of these */
     uv_timer_cb on_timer;     /* set by exchange.c */
     attempt_t attempt;
-    permit_wait_t *permit;                /* the request waits for a permit; NULL: it does not */
+    pending_permit_t *permit;             /* the request waits for a permit; NULL: it does not */
     backend_t *permit_for;                /* that backend, a reference */
     unsigned permits_refused;             /* to the request */
     choice_t choice;                      /* the last one; its backend may be gone */
--- a/gateway/state/account_ledger.h
+++ b/gateway/state/account_ledger.h
@@ -4,7 +4,7 @@
  *
  * An account has an owner in each region, one of its instances (membership/owner.h). The
  * instances of the region report their use to it, and the owners of the regions exchange their sums
- * (membership/account_news.h). So each owner takes every admitted request from a bucket of its own
+ * (membership/account_sync.h). So each owner takes every admitted request from a bucket of its own
  * that fills at the account's rate, and all come to the same room, some 100 ms late.
  * While the room is small, policy/account_share.h has instances held to shares: of each region and
  * instance in proportion to what was asked there lately.
--- a/gateway/state/account_uses.h
+++ b/gateway/state/account_uses.h
@@ -3,7 +3,7 @@
  * the owner of the account's ledger said of it.
  *
  * Counts are cumulative within the life of the process, so that a report that is lost or comes
- * twice changes nothing (membership/account_news.h). An entry is made with an account's first
+ * twice changes nothing (membership/account_sync.h). An entry is made with an account's first
  * request and forgotten when the account has rested; memory and messages follow the accounts in
  * use, not all of them.
  *
