--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -162,7 +162,7 @@
 init_notices(gateway_t *gateway)
 {
     catalog_t *catalog = &gateway->router.catalog;
-    const notice_conf_t conf = {
+    const notice_gossip_conf_t conf = {
         .loop = gateway->loop,
         .members = &gateway->members,
         .catalog = catalog,
@@ -170,9 +170,9 @@
         .own = gateway->settings.peer,
         .region = gateway->router.region,
     };
-    notice_news_init(&gateway->notice_news, &conf);
+    notice_gossip_init(&gateway->notice_news, &conf);
     permit_exchange_init(&gateway->permit_exchange, &conf);
-    catalog->on_notice = notice_news_tell;
+    catalog->on_notice = notice_gossip_send_unsent;
     catalog->ctx = &gateway->notice_news;
 }
 
@@ -180,7 +180,7 @@
 init_membership(gateway_t *gateway)
 {
     const gateway_settings_t *settings = &gateway->settings;
-    const suspect_news_conf_t news_conf = {
+    const suspect_gossip_conf_t news_conf = {
         .loop = gateway->loop,
         .members = &gateway->members,
         .suspects = &gateway->suspects,
@@ -188,8 +188,8 @@
         .own = settings->peer,
         .region = gateway->router.region,
     };
-    suspect_news_init(&gateway->suspect_news, &news_conf);
-    gateway->suspects.on_news = suspect_news_tell;
+    suspect_gossip_init(&gateway->suspect_news, &news_conf);
+    gateway->suspects.on_news = suspect_gossip_send_unsent;
     gateway->suspects.ctx = &gateway->suspect_news;
     const heartbeat_conf_t heartbeat_conf = {
         .settings = settings,
@@ -201,8 +201,8 @@
         .views = &gateway->views,
         .watch = &gateway->store_watch,
         .relay = &gateway->view_relay,
-        .news = &gateway->suspect_news,
-        .notices = &gateway->notice_news,
+        .suspect_gossip = &gateway->suspect_news,
+        .notice_gossip = &gateway->notice_news,
         .hub = gateway->hub,
         .incarnation = rng_next(&gateway->router.rng),
     };
@@ -275,7 +275,7 @@
 gateway_reload(gateway_t *gateway, const gateway_settings_t *settings)
 {
     for (size_t i = 0; i < settings->seed_count; i++)
-        members_at(&gateway->members, &settings->seeds[i]);
+        members_find_or_add(&gateway->members, &settings->seeds[i]);
 }
 
 /* ---- for tests ---- */
--- a/gateway/gateway_news.c
+++ b/gateway/gateway_news.c
@@ -137,7 +137,7 @@
         on_departures(gateway, message->departures);
         break;
     case IRIS__ENVELOPE__BODY_SUSPECTS:
-        suspect_news_receive(&gateway->suspect_news, message->suspects);
+        suspect_gossip_receive(&gateway->suspect_news, message->suspects);
         break;
     case IRIS__ENVELOPE__BODY_ACCOUNT_REPORT:
         account_sync_on_report(&gateway->account_news, conn, message->account_report);
@@ -149,7 +149,7 @@
         account_sync_on_exchange(&gateway->account_news, message->account_exchange);
         break;
     case IRIS__ENVELOPE__BODY_BACKEND_NOTICES:
-        notice_news_receive(&gateway->notice_news, message->backend_notices);
+        notice_gossip_receive(&gateway->notice_news, message->backend_notices);
         break;
     case IRIS__ENVELOPE__BODY_PERMIT_REQUEST:
         permit_exchange_on_request(&gateway->permit_exchange, conn, message->permit_request);
--- a/gateway/gateway_state.h
+++ b/gateway/gateway_state.h
@@ -12,7 +12,7 @@
 #include "gateway/listeners.h"
 #include "gateway/membership/account_sync.h"
 #include "gateway/membership/discovery.h"
-#include "gateway/membership/notice_news.h"
+#include "gateway/membership/notice_gossip.h"
 #include "gateway/membership/permit_exchange.h"
 #include "gateway/path/exchange.h"
 #include "gateway/resume.h"
@@ -31,8 +31,8 @@
     heartbeat_t heartbeat;
     discovery_t discovery;
     suspects_t suspects;
-    suspect_news_t suspect_news;
-    notice_news_t notice_news;
+    suspect_gossip_t suspect_news;
+    notice_gossip_t notice_news;
     permit_exchange_t permit_exchange;
     account_uses_t account_uses;
     account_sync_t account_news;
--- a/gateway/gateway_work.c
+++ b/gateway/gateway_work.c
@@ -74,7 +74,7 @@
 call_again(gateway_t *gateway)
 {
     peer_hub_sweep_unconnected(gateway->hub, CONNECT_MS);
-    heartbeat_call_unheard(&gateway->heartbeat);
+    heartbeat_retry_unheard(&gateway->heartbeat);
 }
 
 void
@@ -90,8 +90,8 @@
     gateway->account_uses.instances = gateway->router.instances;
     account_sync_tick(&gateway->account_news);
     suspects_tick(&gateway->suspects, now_ms);
-    suspect_news_tell(&gateway->suspect_news);
-    notice_news_tell(&gateway->notice_news);
+    suspect_gossip_send_unsent(&gateway->suspect_news);
+    notice_gossip_send_unsent(&gateway->notice_news);
     permit_exchange_tick(&gateway->permit_exchange);
     if (!gateway->stopping)
         discovery_tick(&gateway->discovery, gateway->router.living <= 1);
--- a/gateway/membership/account_exchange.c
+++ b/gateway/membership/account_exchange.c
@@ -83,7 +83,7 @@
         .kind = OWNER_OF_ACCOUNT,
         .key = account,
         .region = sync->conf.region,
-        .is_judged = true,
+        .liveness_known = true,
         .now_ms = loop_now(sync->conf.loop),
     };
     return owner_find(&input);
--- a/gateway/membership/account_grant.c
+++ b/gateway/membership/account_grant.c
@@ -43,7 +43,7 @@
 static bool
 accepts_grants(const account_sync_t *sync, const member_t *member)
 {
-    return member->region == sync->conf.region && member->reads_accounts &&
+    return member->region == sync->conf.region && member->supports_accounts &&
            member_alive(member, account_sync_now(sync));
 }
 
--- a/gateway/membership/account_report.c
+++ b/gateway/membership/account_report.c
@@ -106,7 +106,7 @@
 is_silent(const account_sync_t *sync, uint64_t incarnation)
 {
     const member_t *member = account_sync_find_member(sync, incarnation);
-    return member != NULL && !member->refuses && !member->leaving &&
+    return member != NULL && !member->refuses_connections && !member->leaving &&
            (account_sync_now(sync) < member->accounts_avoided_until_ms ||
             !member_alive(member, account_sync_now(sync)));
 }
@@ -189,7 +189,7 @@
     Iris__AccountUse message;
     Iris__AccountUse *list[] = {&message};
     const member_t *owner = account_sync_find_member(sync, use->owner);
-    if (owner == NULL || owner->refuses || addr_eq(&owner->peer, &sync->conf.own))
+    if (owner == NULL || owner->refuses_connections || addr_eq(&owner->peer, &sync->conf.own))
         return;
     fill_use(sync, use, &message);
     message.leaves = true;
--- a/gateway/membership/account_sync.c
+++ b/gateway/membership/account_sync.c
@@ -39,7 +39,7 @@
 {
     const account_sync_t *sync = ctx;
     const member_t *member = account_sync_find_member(sync, source);
-    if (member == NULL || member->refuses)
+    if (member == NULL || member->refuses_connections)
         return SOURCE_GONE;
     return member_alive(member, account_sync_now(sync)) ? SOURCE_LIVES : SOURCE_LOST;
 }
@@ -106,9 +106,9 @@
 void
 account_sync_on_connection_refused(account_sync_t *sync, member_t *member)
 {
-    if (member->refuses)
+    if (member->refuses_connections)
         return;
-    member->refuses = true;
+    member->refuses_connections = true;
     account_report_avoid_owner(sync, member->incarnation);
     sync->reviewed_ms = 0; /* with the next tick */
     for (size_t i = 0; i < sync->conf.uses->count; i++)
--- a/gateway/membership/directory.c
+++ b/gateway/membership/directory.c
@@ -2,10 +2,10 @@
 #include "gateway/policy/naming.h"
 
 static bool
-is_named(const member_t *member, uint64_t now_ms)
+is_listed(const member_t *member, uint64_t now_ms)
 {
     return member->heard && member->ready && !member->leaving &&
-           now_ms - member->heard_ms <= member_unnamed_after_ms(member);
+           now_ms - member->heard_ms <= member_unlisted_after_ms(member);
 }
 
 /* The instances of a data hall that could be named; returns their number. */
@@ -16,7 +16,7 @@
     size_t count = 0;
     for (size_t i = 0; i < members->count && count < MEMBERS_MAX; i++) {
         const member_t *member = &members->items[i];
-        if (!is_named(member, now_ms) || !name_eq(&member->hall, hall))
+        if (!is_listed(member, now_ms) || !name_eq(&member->hall, hall))
             continue;
         out[count++] = (naming_instance_t){
             .callers = member->callers,
@@ -35,13 +35,13 @@
 {
     static naming_instance_t instances[MEMBERS_MAX];
     const size_t count = collect_hall(members, hall, now_ms, instances);
-    const size_t named = naming_decide(instances, count);
-    size_t taken = 0;
-    while (taken < named && taken < DIRECTORY_MAX) {
-        out[taken] = instances[taken].callers;
-        taken++;
+    const size_t listed = naming_decide(instances, count);
+    size_t copied = 0;
+    while (copied < listed && copied < DIRECTORY_MAX) {
+        out[copied] = instances[copied].callers;
+        copied++;
     }
-    return taken;
+    return copied;
 }
 
 /* All instances of a region, or of all regions. */
@@ -51,7 +51,7 @@
     size_t count = 0;
     for (size_t i = 0; i < members->count && count < DIRECTORY_MAX; i++) {
         const member_t *member = &members->items[i];
-        if (is_named(member, now_ms) && (region == TOPOLOGY_NO_REGION || member->region == region))
+        if (is_listed(member, now_ms) && (region == TOPOLOGY_NO_REGION || member->region == region))
             out[count++] = member->callers;
     }
     return count;
--- a/gateway/membership/discovery.c
+++ b/gateway/membership/discovery.c
@@ -9,9 +9,10 @@
 enum {
     /* An instance that was announced before hears so in this time: a connection and an answer
      * between regions take 0.15 s, and a busy instance of a tenth of a core as much. Chosen. */
-    PEERS_FIRST_MS = 600,
-    RETRY_MS = 2000,  /* until the announcement has worked. Chosen, not measured */
-    ALONE_MS = 10000, /* between the attempts of an instance that hears of no other. Chosen */
+    START_DELAY_MS = 600,
+    RETRY_MS = 2000, /* until the announcement has worked. Chosen, not measured */
+    RELIST_INTERVAL_MS =
+        10000, /* between the attempts of an instance that hears of no other. Chosen */
 };
 
 void
@@ -19,7 +20,7 @@
 {
     *discovery = (discovery_t){
         .conf = *conf,
-        .next_at_ms = loop_now(conf->loop) + PEERS_FIRST_MS,
+        .next_at_ms = loop_now(conf->loop) + START_DELAY_MS,
     };
 }
 
@@ -61,7 +62,7 @@
         list_instances(discovery, answer->items[answer->item_count - 1].name);
         return;
     }
-    discovery->next_at_ms = loop_now(discovery->conf.loop) + ALONE_MS;
+    discovery->next_at_ms = loop_now(discovery->conf.loop) + RELIST_INTERVAL_MS;
     heartbeat_send(discovery->conf.heartbeat, loop_now(discovery->conf.loop));
 }
 
@@ -89,11 +90,11 @@
 }
 
 void
-discovery_tick(discovery_t *discovery, bool alone)
+discovery_tick(discovery_t *discovery, bool isolated)
 {
     const uint64_t now_ms = loop_now(discovery->conf.loop);
     const bool announced = discovery->conf.heartbeat->announced;
-    if ((announced && !alone) || now_ms < discovery->next_at_ms)
+    if ((announced && !isolated) || now_ms < discovery->next_at_ms)
         return;
     discovery->next_at_ms = now_ms + RETRY_MS;
     if (announced)
--- a/gateway/membership/discovery.h
+++ b/gateway/membership/discovery.h
@@ -29,4 +29,4 @@
 
 void discovery_init(discovery_t *discovery, const discovery_conf_t *conf);
 /* Regular work; `alone` tells that no other instance is heard. */
-void discovery_tick(discovery_t *discovery, bool alone);
+void discovery_tick(discovery_t *discovery, bool isolated);
--- a/gateway/membership/heartbeat.c
+++ b/gateway/membership/heartbeat.c
@@ -4,11 +4,11 @@
 #include "gateway/membership/heartbeat.h"
 
 /* A heartbeat is sent up to this long before its time, so that ticks of 200 ms do not delay it. */
-enum { EARLY_MS = 100 };
+enum { SEND_EARLY_MS = 100 };
 
 /* Instances that are logged as heard between two ticks: a fleet of 295 that starts would write 98
  * lines each, and lose others. Chosen. */
-enum { HEARD_LINES_MAX = 16 };
+enum { HEARD_LOG_LINES_MAX = 16 };
 
 static size_t
 region_of(const heartbeat_t *heartbeat, const name_t *hall)
@@ -24,15 +24,15 @@
 
 /* In a large fleet instances of other regions are heard only now and then. */
 static bool
-is_heard_often(const heartbeat_t *heartbeat, const member_t *member)
+is_heard_regularly(const heartbeat_t *heartbeat, const member_t *member)
 {
-    return heartbeat->conf.members->count <= MEMBERS_MESH ||
+    return heartbeat->conf.members->count <= MEMBERS_FULL_MESH_MAX ||
            member->region == heartbeat->conf.region;
 }
 
 /* Adds the service's demand to what is told; the least one goes if there are too many. */
 static void
-tell_demand(member_t *self, const service_t *service)
+add_demand(member_t *self, const service_t *service)
 {
     const member_demand_t demand = {service->name, service->demand};
     if (self->demand_count < MEMBER_DEMANDS_MAX) {
@@ -54,7 +54,7 @@
 {
     const gateway_settings_t *settings = heartbeat->conf.settings;
     const services_t *services = heartbeat->conf.services;
-    member_t *self = members_at(heartbeat->conf.members, &settings->peer);
+    member_t *self = members_find_or_add(heartbeat->conf.members, &settings->peer);
     self->heard = true;
     self->heard_ms = now_ms;
     self->instance = settings->name;
@@ -63,8 +63,8 @@
     self->callers = settings->callers;
     self->incarnation = heartbeat->conf.incarnation;
     self->ready = heartbeat->ready;
-    self->reads_accounts = true;
-    self->gives_permits = true;
+    self->supports_accounts = true;
+    self->supports_permits = true;
     self->leaving = heartbeat->leaving;
     self->announced = heartbeat->announced;
     self->interval_ms = members_interval_ms(heartbeat->conf.members, self->region, now_ms);
@@ -76,7 +76,7 @@
     };
     self->demand_count = 0;
     for (size_t i = 0; i < services->count; i++)
-        tell_demand(self, services->items[i]);
+        add_demand(self, services->items[i]);
 }
 
 void
@@ -115,7 +115,7 @@
 }
 
 void
-heartbeat_call_unheard(heartbeat_t *heartbeat)
+heartbeat_retry_unheard(heartbeat_t *heartbeat)
 {
     members_t *members = heartbeat->conf.members;
     for (size_t i = 0; i < members->count; i++) {
@@ -131,12 +131,12 @@
     members_t *members = heartbeat->conf.members;
     update_self(heartbeat, now_ms);
     const heartbeat_source_t source = {
-        .self = members_at(members, &heartbeat->conf.settings->peer),
+        .self = members_find_or_add(members, &heartbeat->conf.settings->peer),
         .members = members,
         .views = heartbeat->conf.views,
         .watch = heartbeat->conf.watch,
-        .news = heartbeat->conf.news,
-        .notices = heartbeat->conf.notices,
+        .suspect_gossip = heartbeat->conf.suspect_gossip,
+        .notice_gossip = heartbeat->conf.notice_gossip,
         .resumed = heartbeat->resumed,
         .backends = heartbeat->conf.backends,
         .round = heartbeat->round,
@@ -169,40 +169,42 @@
 {
     for (size_t i = 0; i < heartbeat->conf.members->count; i++) {
         member_t *member = &heartbeat->conf.members->items[i];
-        if (!member->logged_living || member_alive(member, now_ms))
+        if (!member->logged_alive || member_alive(member, now_ms))
             continue;
-        member->logged_living = false;
-        if (is_heard_often(heartbeat, member))
+        member->logged_alive = false;
+        if (is_heard_regularly(heartbeat, member))
             LOG_INFO("instance lost: instance=%s hall=%s silent_ms=%llu", member->instance.ptr,
                      member->hall.ptr, (unsigned long long)(now_ms - member->heard_ms));
     }
 }
 
 static size_t
-addresses_for(const heartbeat_t *heartbeat, const member_t *newcomer)
+max_addresses_for(const heartbeat_t *heartbeat, const member_t *new_member)
 {
-    if (newcomer->region != heartbeat->conf.region && newcomer->region_members > 1)
+    if (new_member->region != heartbeat->conf.region && new_member->region_members > 1)
         return 0;
-    return settings_is_seed(heartbeat->conf.settings) ? HEARTBEAT_PEERS_MAX : HEARTBEAT_PEERS_FEW;
+    return settings_is_seed(heartbeat->conf.settings) ? HEARTBEAT_PEERS_MAX
+                                                      : HEARTBEAT_PEERS_NON_SEED_MAX;
 }
 
 /* An instance heard anew learns at once who there is and which views there are, so that it need not
  * ask the store. Addresses go to another region only if it has heard of nobody there: to all of a
  * fleet that starts they were 0.1 GB between regions (295 instances, two plays of a day). */
 static void
-answer_newcomer(heartbeat_t *heartbeat, const member_t *member, bool was_announced, uint64_t now_ms)
+reply_to_new_member(heartbeat_t *heartbeat, const member_t *member, bool was_announced,
+                    uint64_t now_ms)
 {
     const heartbeat_source_t source = {
-        .self = members_at(heartbeat->conf.members, &heartbeat->conf.settings->peer),
+        .self = members_find_or_add(heartbeat->conf.members, &heartbeat->conf.settings->peer),
         .members = heartbeat->conf.members,
         .views = heartbeat->conf.views,
         .watch = heartbeat->conf.watch,
-        .news = heartbeat->conf.news,
-        .notices = heartbeat->conf.notices,
+        .suspect_gossip = heartbeat->conf.suspect_gossip,
+        .notice_gossip = heartbeat->conf.notice_gossip,
         .backends = heartbeat->conf.backends,
-        .round = heartbeat->answers++,
-        .is_answer = true,
-        .addresses = addresses_for(heartbeat, member),
+        .round = heartbeat->replies_sent++,
+        .is_reply = true,
+        .addresses_max = max_addresses_for(heartbeat, member),
         .was_announced = was_announced,
         .now_ms = now_ms,
     };
@@ -217,7 +219,7 @@
 
 /* The store fails this instance from now on, or no longer: who watches it depends on that. */
 static bool
-has_store_news(const heartbeat_t *heartbeat)
+store_status_changed(const heartbeat_t *heartbeat)
 {
     return heartbeat->store_failing != store_watch_is_failing(heartbeat->conf.watch);
 }
@@ -228,12 +230,12 @@
     const uint32_t interval_ms =
         members_interval_ms(heartbeat->conf.members, heartbeat->conf.region, now_ms);
     log_lost(heartbeat, now_ms);
-    if (heartbeat->heard_lines > HEARD_LINES_MAX)
+    if (heartbeat->heard_log_lines > HEARD_LOG_LINES_MAX)
         LOG_INFO("more instances heard at once than lines: heard=%u lines=%d",
-                 heartbeat->heard_lines, HEARD_LINES_MAX);
-    heartbeat->heard_lines = 0;
-    heartbeat->is_due |= has_store_news(heartbeat);
-    if (heartbeat->is_due || now_ms - heartbeat->sent_ms + EARLY_MS >= interval_ms)
+                 heartbeat->heard_log_lines, HEARD_LOG_LINES_MAX);
+    heartbeat->heard_log_lines = 0;
+    heartbeat->is_due |= store_status_changed(heartbeat);
+    if (heartbeat->is_due || now_ms - heartbeat->sent_ms + SEND_EARLY_MS >= interval_ms)
         heartbeat_send(heartbeat, now_ms);
 }
 
@@ -242,7 +244,7 @@
                       bool announced)
 {
     const size_t known = heartbeat->conf.members->count;
-    member_t *member = members_at(heartbeat->conf.members, peer);
+    member_t *member = members_find_or_add(heartbeat->conf.members, peer);
     if (member == NULL)
         return;
     member->announced |= announced;
@@ -284,9 +286,9 @@
            uint64_t now_ms)
 {
     const bool restarted = member->heard && member->incarnation != message->incarnation;
-    const bool expected = !member->heard || is_heard_often(heartbeat, member);
-    const bool is_news = restarted || (expected && !member_alive(member, now_ms));
-    if (is_news && heartbeat->heard_lines++ < HEARD_LINES_MAX)
+    const bool expected = !member->heard || is_heard_regularly(heartbeat, member);
+    const bool is_newly_heard = restarted || (expected && !member_alive(member, now_ms));
+    if (is_newly_heard && heartbeat->heard_log_lines++ < HEARD_LOG_LINES_MAX)
         LOG_INFO("instance heard: instance=%s hall=%s silent_ms=%llu restarted=%d",
                  message->instance, message->place,
                  (unsigned long long)(member->heard ? now_ms - member->heard_ms : 0), restarted);
@@ -303,7 +305,7 @@
         return;
     }
     add_addresses(heartbeat, message);
-    member_t *member = members_at(heartbeat->conf.members, &sender.peer);
+    member_t *member = members_find_or_add(heartbeat->conf.members, &sender.peer);
     if (member == NULL || is_self(heartbeat, &sender.peer))
         return;
     log_change(heartbeat, member, message, now_ms);
@@ -311,20 +313,20 @@
     const bool was_announced = member->announced;
     member->heard = true;
     member->heard_ms = now_ms;
-    member->refuses = false;
+    member->refuses_connections = false;
     if (is_new)
         member->accounts_avoided_until_ms = 0;
-    member->logged_living = true;
+    member->logged_alive = true;
     member->instance = sender.instance;
     member->hall = sender.hall;
     member->region = region_of(heartbeat, &sender.hall);
     member->callers = sender.callers;
     heartbeat_message_apply(message, member);
     member->announced |= was_announced;
-    suspect_news_join(heartbeat->conf.news, message->suspects, message->n_suspects);
-    notice_news_join(heartbeat->conf.notices, message->notices, message->n_notices);
+    suspect_gossip_merge(heartbeat->conf.suspect_gossip, message->suspects, message->n_suspects);
+    notice_gossip_merge(heartbeat->conf.notice_gossip, message->notices, message->n_notices);
     if (is_new || message->resumed)
-        answer_newcomer(heartbeat, member, was_announced, now_ms);
+        reply_to_new_member(heartbeat, member, was_announced, now_ms);
     if (message->was_announced)
         heartbeat_set_announced(heartbeat);
     add_outcomes(heartbeat->conf.backends, message, now_ms);
--- a/gateway/membership/heartbeat.h
+++ b/gateway/membership/heartbeat.h
@@ -24,8 +24,8 @@
     const views_t *views;
     const store_watch_t *watch;
     view_relay_t *relay;
-    suspect_news_t *news;
-    notice_news_t *notices;
+    suspect_gossip_t *suspect_gossip;
+    notice_gossip_t *notice_gossip;
     peer_hub_t *hub;
     uint64_t incarnation; /* random number of this life of the process */
 } heartbeat_conf_t;
@@ -36,12 +36,12 @@
     uint64_t sent_ms; /* time of the last one */
     bool ready;
     bool leaving;
-    bool announced;       /* the store has the entry of this instance */
-    bool store_failing;   /* as peers were told last */
-    unsigned answers;     /* sent to instances heard anew */
-    unsigned heard_lines; /* that could have been logged since the last tick */
-    bool resumed;         /* it stood still: peers are to tell what it missed */
-    bool is_due;          /* peers are to know at the next tick, whatever the interval */
+    bool announced;           /* the store has the entry of this instance */
+    bool store_failing;       /* as peers were told last */
+    unsigned replies_sent;    /* sent to instances heard anew */
+    unsigned heard_log_lines; /* that could have been logged since the last tick */
+    bool resumed;             /* it stood still: peers are to tell what it missed */
+    bool is_due;              /* peers are to know at the next tick, whatever the interval */
 } heartbeat_t;
 
 /* The instance's own member exists afterwards. */
@@ -56,7 +56,7 @@
  * them. */
 void heartbeat_resume(heartbeat_t *heartbeat, uint64_t now_ms);
 /* The next tick sends one, also to members that were not heard, however lately they got one. */
-void heartbeat_call_unheard(heartbeat_t *heartbeat);
+void heartbeat_retry_unheard(heartbeat_t *heartbeat);
 /* The store has the entry of this instance. */
 void heartbeat_set_announced(heartbeat_t *heartbeat);
 /* Sends one if the interval has passed, or if there is news that peers wait for. */
--- a/gateway/membership/heartbeat_message.c
+++ b/gateway/membership/heartbeat_message.c
@@ -4,7 +4,7 @@
 
 /* Rounds in which a part of the known addresses is sent: two of these many. Chosen, not measured.
  */
-enum { PEERS_EVERY = 8, PEERS_ROUNDS = 2 };
+enum { PEERS_PERIOD = 8, PEERS_ROUNDS = 2 };
 
 /* protobuf-c's strings are not const, though it does not write to them. */
 static char *
@@ -43,10 +43,10 @@
     const member_t *self = source->self;
     for (size_t i = 0; i < self->demand_count; i++) {
         const name_t *service = &self->demands[i].service;
-        const double of_region = members_demand(source->members, name_str(service), self->region,
-                                                self->region, source->now_ms);
+        const double region_slots = members_demand(source->members, name_str(service), self->region,
+                                                   self->region, source->now_ms);
         fill_demand(&out->demands[i], service, self->demands[i].slots);
-        fill_demand(&out->region_demands[i], service, of_region);
+        fill_demand(&out->region_demands[i], service, region_slots);
         out->demand_list[i] = &out->demands[i];
         out->region_demand_list[i] = &out->region_demands[i];
     }
@@ -61,11 +61,11 @@
 fill_peers(heartbeat_message_t *out, const heartbeat_source_t *source)
 {
     const members_t *members = source->members;
-    const size_t most = source->is_answer ? source->addresses : HEARTBEAT_PEERS_MAX;
-    const size_t step = source->is_answer ? most : most / PEERS_EVERY;
+    const size_t max = source->is_reply ? source->addresses_max : HEARTBEAT_PEERS_MAX;
+    const size_t step = source->is_reply ? max : max / PEERS_PERIOD;
     const size_t start = (size_t)source->round * step;
     size_t count = 0;
-    for (size_t i = 0; i < members->count && count < most; i++) {
+    for (size_t i = 0; i < members->count && count < max; i++) {
         const member_t *member = &members->items[(start + i) % members->count];
         if (!member->heard)
             continue;
@@ -108,10 +108,11 @@
 static void
 fill_suspects(heartbeat_message_t *out, const heartbeat_source_t *source)
 {
-    const bool is_mesh = source->members->count <= MEMBERS_MESH;
-    const size_t each = is_mesh ? SUSPECTS_A_HEARTBEAT : SUSPECTS_A_HEARTBEAT_LARGE;
-    const size_t most = source->is_answer ? SUSPECTS_AN_ANSWER : each;
-    const size_t count = suspect_news_fill(source->news, out->suspects, most, source->round);
+    const bool is_full_mesh = source->members->count <= MEMBERS_FULL_MESH_MAX;
+    const size_t regular = is_full_mesh ? SUSPECTS_PER_HEARTBEAT : SUSPECTS_PER_HEARTBEAT_LARGE;
+    const size_t max = source->is_reply ? SUSPECTS_PER_REPLY : regular;
+    const size_t count =
+        suspect_gossip_fill(source->suspect_gossip, out->suspects, max, source->round);
     for (size_t i = 0; i < count; i++)
         out->suspect_list[i] = &out->suspects[i].message;
     out->message.n_suspects = count;
@@ -121,10 +122,11 @@
 static void
 fill_notices(heartbeat_message_t *out, const heartbeat_source_t *source)
 {
-    const bool large = source->members->count > MEMBERS_MESH;
-    const size_t regular = large ? NOTICES_A_HEARTBEAT_LARGE : NOTICES_A_HEARTBEAT;
-    const size_t most = source->is_answer ? NOTICES_AN_ANSWER : regular;
-    const size_t count = notice_news_fill(source->notices, out->notices, most, source->round);
+    const bool large = source->members->count > MEMBERS_FULL_MESH_MAX;
+    const size_t regular = large ? NOTICES_PER_HEARTBEAT_LARGE : NOTICES_PER_HEARTBEAT;
+    const size_t max = source->is_reply ? NOTICES_PER_REPLY : regular;
+    const size_t count =
+        notice_gossip_fill(source->notice_gossip, out->notices, max, source->round);
     for (size_t i = 0; i < count; i++)
         out->notice_list[i] = &out->notices[i];
     out->message.n_notices = count;
@@ -155,7 +157,7 @@
     message->resumed = source->resumed;
     message->announced = self->announced;
     message->region_members =
-        (uint32_t)members_living(source->members, self->region, source->now_ms);
+        (uint32_t)members_count_alive_in_region(source->members, self->region, source->now_ms);
     message->interval_ms = self->interval_ms;
     message->link_bytes_per_s = (float)self->capacity.link_bytes_per_s;
     message->cpu_cores = (float)self->capacity.cpu_cores;
@@ -172,9 +174,9 @@
     fill_demands(out, source);
     fill_suspects(out, source);
     fill_notices(out, source);
-    if (!source->is_answer)
+    if (!source->is_reply)
         fill_outcomes(out, source);
-    if (source->is_answer || source->round % PEERS_EVERY < PEERS_ROUNDS)
+    if (source->is_reply || source->round % PEERS_PERIOD < PEERS_ROUNDS)
         fill_peers(out, source);
     out->message.was_announced = source->was_announced;
 }
@@ -192,14 +194,14 @@
 static size_t
 read_demands(Iris__Demand *const *demands, size_t count, member_demand_t *out)
 {
-    size_t taken = 0;
-    for (size_t i = 0; i < count && taken < MEMBER_DEMANDS_MAX; i++) {
-        if (!name_set(&out[taken].service, str_from(demands[i]->service)))
+    size_t valid_count = 0;
+    for (size_t i = 0; i < count && valid_count < MEMBER_DEMANDS_MAX; i++) {
+        if (!name_set(&out[valid_count].service, str_from(demands[i]->service)))
             continue;
-        out[taken].slots = demands[i]->slots;
-        taken++;
+        out[valid_count].slots = demands[i]->slots;
+        valid_count++;
     }
-    return taken;
+    return valid_count;
 }
 
 /* A view that the message leaves out, as older versions may, is not known there. */
@@ -219,7 +221,7 @@
 }
 
 static view_reads_t
-read_reads(const Iris__GatewayHeartbeat *message)
+read_view_format(const Iris__GatewayHeartbeat *message)
 {
     if (message->reads_lists)
         return VIEW_READS_LISTS;
@@ -234,11 +236,11 @@
     member->leaving = message->leaving;
     member->store_age_ms = message->store_age_ms;
     member->store_failing = message->store_failing;
-    member->reads = read_reads(message);
+    member->reads = read_view_format(message);
     member->announced = message->announced;
-    member->reads_suspects = message->reads_suspects;
-    member->reads_accounts = message->reads_accounts;
-    member->gives_permits = message->gives_permits;
+    member->supports_suspects = message->reads_suspects;
+    member->supports_accounts = message->reads_accounts;
+    member->supports_permits = message->gives_permits;
     member->interval_ms = message->interval_ms;
     member->region_members = message->region_members;
     member->capacity = (member_capacity_t){
--- a/gateway/membership/heartbeat_message.h
+++ b/gateway/membership/heartbeat_message.h
@@ -7,8 +7,8 @@
  */
 #pragma once
 
-#include "gateway/membership/notice_news.h"
-#include "gateway/membership/suspect_news.h"
+#include "gateway/membership/notice_gossip.h"
+#include "gateway/membership/suspect_gossip.h"
 #include "gateway/state/backends.h"
 #include "gateway/state/store_watch.h"
 #include "peer/peer.pb-c.h"
@@ -17,7 +17,7 @@
     HEARTBEAT_PEERS_MAX = 64, /* addresses in one heartbeat. Chosen, not measured */
     /* The same in an answer of an instance that is no seed: 97 of a region answer, so that a few of
      * each are all; 64 of each were 0.2 MB to each instance of a fleet that starts. */
-    HEARTBEAT_PEERS_FEW = 16,
+    HEARTBEAT_PEERS_NON_SEED_MAX = 16,
     HEARTBEAT_OUTCOMES_MAX = 64, /* backends in one; bounds its bytes (docs/CAPACITY.md) */
 };
 
@@ -34,10 +34,10 @@
     Iris__PeerAddress *peer_list[HEARTBEAT_PEERS_MAX];
     Iris__Outcomes outcomes[HEARTBEAT_OUTCOMES_MAX];
     Iris__Outcomes *outcome_list[HEARTBEAT_OUTCOMES_MAX];
-    suspect_message_t suspects[SUSPECTS_AN_ANSWER];
-    Iris__Suspect *suspect_list[SUSPECTS_AN_ANSWER];
-    Iris__BackendNotice notices[NOTICES_AN_ANSWER];
-    Iris__BackendNotice *notice_list[NOTICES_AN_ANSWER];
+    suspect_message_t suspects[SUSPECTS_PER_REPLY];
+    Iris__Suspect *suspect_list[SUSPECTS_PER_REPLY];
+    Iris__BackendNotice notices[NOTICES_PER_REPLY];
+    Iris__BackendNotice *notice_list[NOTICES_PER_REPLY];
     char peer_texts[HEARTBEAT_PEERS_MAX][ADDR_TEXT_MAX];
     char own_peer[ADDR_TEXT_MAX];
     char own_callers[ADDR_TEXT_MAX];
@@ -49,13 +49,13 @@
     const members_t *members;
     const views_t *views;
     const store_watch_t *watch;
-    const suspect_news_t *news;
-    const notice_news_t *notices;
+    const suspect_gossip_t *suspect_gossip;
+    const notice_gossip_t *notice_gossip;
     bool resumed;               /* this instance stood still and missed messages */
     const backends_t *backends; /* their unsent outcomes are taken into the message */
     unsigned round;             /* number of the heartbeat; addresses go into some rounds only */
-    bool is_answer;             /* to an instance heard anew: without outcomes */
-    size_t addresses;           /* in an answer: how many at most */
+    bool is_reply;              /* to an instance heard anew: without outcomes */
+    size_t addresses_max;       /* in an answer: how many at most */
     bool was_announced;         /* that one said so before */
     uint64_t now_ms;
 } heartbeat_source_t;
--- a/gateway/membership/members.c
+++ b/gateway/membership/members.c
@@ -8,7 +8,7 @@
 
 enum {
     KEY_SEED = 51, /* any number; the same on every instance */
-    ITEMS_START = 16,
+    INITIAL_CAPACITY = 16,
     RETRY_SILENT_MS = 1200, /* how often a silent instance is tried. Chosen: three heartbeats */
     /* A watch rests for 3 s at most; the rest is for its way (commit 4d7e314). */
     WATCHER_AGE_MAX_MS = 3500,
@@ -19,10 +19,10 @@
 #define LOST_INTERVALS 4.5
 /* And after which it is not named to callers any more: 1.3 s in a small region. Chosen, not
  * measured. */
-#define UNNAMED_INTERVALS 3.25
+#define UNLISTED_INTERVALS 3.25
 
 member_t *
-members_at(members_t *members, const addr_t *peer)
+members_find_or_add(members_t *members, const addr_t *peer)
 {
     for (size_t i = 0; i < members->count; i++) {
         if (addr_eq(&members->items[i].peer, peer))
@@ -33,7 +33,7 @@
         return NULL;
     }
     if (members->count == members->size) {
-        members->size = members->size > 0 ? members->size * 2 : ITEMS_START;
+        members->size = members->size > 0 ? members->size * 2 : INITIAL_CAPACITY;
         members->items = xrealloc(members->items, members->size * sizeof(*members->items));
     }
     member_t *member = &members->items[members->count++];
@@ -56,9 +56,9 @@
 }
 
 uint64_t
-member_unnamed_after_ms(const member_t *member)
+member_unlisted_after_ms(const member_t *member)
 {
-    return (uint64_t)(UNNAMED_INTERVALS * interval_of(member));
+    return (uint64_t)(UNLISTED_INTERVALS * interval_of(member));
 }
 
 bool
@@ -113,20 +113,20 @@
 bool
 members_watch_store(const members_t *members, size_t region, uint32_t age_ms, uint64_t now_ms)
 {
-    const bool all_send_changes = members->count <= MEMBERS_MESH;
+    const bool all_send_changes = members->count <= MEMBERS_FULL_MESH_MAX;
     for (size_t i = 0; i < members->count; i++) {
-        const bool tells = all_send_changes || members->items[i].region == region;
-        if (tells && has_recent_answer(&members->items[i], age_ms, now_ms))
+        const bool sends_changes = all_send_changes || members->items[i].region == region;
+        if (sends_changes && has_recent_answer(&members->items[i], age_ms, now_ms))
             return true;
     }
     return false;
 }
 
 bool
-members_store_is_away(const members_t *members, str_t own, bool own_failing, uint32_t age_ms,
+members_store_is_down(const members_t *members, str_t own, bool own_failing, uint32_t age_ms,
                       uint64_t now_ms)
 {
-    size_t living = 1;
+    size_t alive = 1;
     size_t failing = own_failing;
     for (size_t i = 0; i < members->count; i++) {
         const member_t *member = &members->items[i];
@@ -134,10 +134,10 @@
             continue;
         if (!member->store_failing && has_recent_answer(member, age_ms, now_ms))
             return false;
-        living++;
+        alive++;
         failing += member->store_failing;
     }
-    return failing >= (living < MEMBERS_WITNESSES ? living : MEMBERS_WITNESSES);
+    return failing >= (alive < MEMBERS_OUTAGE_QUORUM ? alive : MEMBERS_OUTAGE_QUORUM);
 }
 
 bool
@@ -185,7 +185,7 @@
 
 /* The member of a region that was heard last. */
 static const member_t *
-latest_of(const members_t *members, size_t region)
+latest_in_region(const members_t *members, size_t region)
 {
     const member_t *latest = NULL;
     for (size_t i = 0; i < members->count; i++) {
@@ -203,7 +203,7 @@
 {
     if (region == own_region)
         return own_region_demand(members, service, region, now_ms);
-    const member_t *latest = latest_of(members, region);
+    const member_t *latest = latest_in_region(members, region);
     if (latest == NULL || !member_alive(latest, now_ms))
         return 0;
     return find_demand(latest->region_demands, latest->region_demand_count, service);
@@ -222,7 +222,7 @@
 }
 
 size_t
-members_living_everywhere(const members_t *members, uint64_t now_ms)
+members_count_alive(const members_t *members, uint64_t now_ms)
 {
     size_t count = 0;
     for (size_t i = 0; i < members->count; i++)
@@ -231,7 +231,7 @@
 }
 
 size_t
-members_living(const members_t *members, size_t region, uint64_t now_ms)
+members_count_alive_in_region(const members_t *members, size_t region, uint64_t now_ms)
 {
     size_t count = 0;
     for (size_t i = 0; i < members->count; i++)
@@ -249,9 +249,9 @@
             heard[members->items[i].region]++;
     }
     for (size_t region = 0; region <= TOPOLOGY_REGIONS_MAX; region++) {
-        const member_t *latest = region != own_region ? latest_of(members, region) : NULL;
-        const size_t told = latest != NULL ? latest->region_members : 0;
-        total += told > heard[region] ? told : heard[region];
+        const member_t *latest = region != own_region ? latest_in_region(members, region) : NULL;
+        const size_t reported = latest != NULL ? latest->region_members : 0;
+        total += reported > heard[region] ? reported : heard[region];
     }
     return total;
 }
@@ -259,7 +259,8 @@
 uint32_t
 members_interval_ms(const members_t *members, size_t region, uint64_t now_ms)
 {
-    const size_t scaled = HEARTBEAT_MEMBER_MS * members_living(members, region, now_ms);
+    const size_t scaled =
+        HEARTBEAT_MS_PER_MEMBER * members_count_alive_in_region(members, region, now_ms);
     if (scaled < HEARTBEAT_MIN_MS)
         return HEARTBEAT_MIN_MS;
     return scaled < HEARTBEAT_MAX_MS ? (uint32_t)scaled : HEARTBEAT_MAX_MS;
@@ -285,12 +286,12 @@
                   uint64_t now_ms)
 {
     const member_t *member = &members->items[index];
-    if (members->count <= MEMBERS_MESH || member->region == own_region)
+    if (members->count <= MEMBERS_FULL_MESH_MAX || member->region == own_region)
         return member_alive(member, now_ms) || now_ms - member->sent_ms >= RETRY_SILENT_MS;
     size_t count;
     const size_t position = index_in_region(members, index, &count);
-    const size_t turn = (size_t)round * MEMBERS_OTHER_REGION % count;
-    return (position + count - turn) % count < MEMBERS_OTHER_REGION;
+    const size_t turn = (size_t)round * MEMBERS_PER_REMOTE_REGION % count;
+    return (position + count - turn) % count < MEMBERS_PER_REMOTE_REGION;
 }
 
 uint64_t
--- a/gateway/membership/members.h
+++ b/gateway/membership/members.h
@@ -4,9 +4,9 @@
  * No agreement and no leader: each instance judges for itself by silence. Members are kept by the
  * address at which peers reach them; one that fell silent is kept and tried now and then, since a
  * restarted instance comes back at its address.
- * Up to MEMBERS_MESH instances all send each other heartbeats. In a larger fleet an instance sends
- * to all of its region and to one of each other region in turn; what a region needs of another, the
- * sum of its demand and its size, is in every heartbeat.
+ * Up to MEMBERS_FULL_MESH_MAX instances all send each other heartbeats. In a larger fleet an
+ * instance sends to all of its region and to one of each other region in turn; what a region needs
+ * of another, the sum of its demand and its size, is in every heartbeat.
  *
  * Owns the table of members. Relies on nothing; time is passed in. Filled by heartbeat.h.
  */
@@ -20,20 +20,21 @@
 
 enum {
     MEMBERS_MAX = 2048, /* above the fleet to design for (1,400 instances) */
-    MEMBERS_MESH = 16,  /* instances that all talk to each other; the small sites have 9 to 12 */
+    MEMBERS_FULL_MESH_MAX =
+        16, /* instances that all talk to each other; the small sites have 9 to 12 */
     /* Members of each other region that get a heartbeat in a round (commit 750a091). */
-    MEMBERS_OTHER_REGION = 1,
+    MEMBERS_PER_REMOTE_REGION = 1,
     /* Services in a heartbeat, those with the greatest demand. Chosen: above the users' largest
      * site. */
     MEMBER_DEMANDS_MAX = 16,
     /* Milliseconds between heartbeats: 20 for each member of the region, within these limits. The
      * slope keeps 1,400 instances near the bound on bytes (docs/CAPACITY.md, commit 750a091). */
     HEARTBEAT_MIN_MS = 400,
-    HEARTBEAT_MEMBER_MS = 20,
+    HEARTBEAT_MS_PER_MEMBER = 20,
     HEARTBEAT_MAX_MS = 1200,
     /* Instances that the store must fail for an outage: those that try first where nobody watches
      * (policy/store_turns.c). */
-    MEMBERS_WITNESSES = 4,
+    MEMBERS_OUTAGE_QUORUM = 4,
     STORE_AGE_NONE = 0xffffffff, /* store_age_ms of an instance that does not watch the store */
 };
 
@@ -73,10 +74,10 @@
     bool store_failing;                 /* the store fails it */
     view_reads_t reads;                 /* how it takes changes of views */
     bool announced;                     /* it says that the store has its entry */
-    bool reads_suspects;                /* it takes messages of suspects */
-    bool reads_accounts;                /* it takes messages of client accounts */
-    bool gives_permits;                 /* it takes notices, and gives permits */
-    bool refuses;                       /* no process listens there, since it was heard last */
+    bool supports_suspects;             /* it takes messages of suspects */
+    bool supports_accounts;             /* it takes messages of client accounts */
+    bool supports_permits;              /* it takes notices, and gives permits */
+    bool refuses_connections;           /* no process listens there, since it was heard last */
     uint64_t accounts_avoided_until_ms; /* it left a report of accounts without an answer */
     member_view_t views[VIEW_WATCHED];
     member_demand_t demands[MEMBER_DEMANDS_MAX];
@@ -87,7 +88,7 @@
     uint32_t region_members; /* living members of its region, as it counts them */
     uint32_t interval_ms;    /* between its heartbeats, 0 if not known */
     uint64_t sent_ms;        /* time of our last heartbeat to it */
-    bool logged_living;      /* the log says that it lives */
+    bool logged_alive;       /* the log says that it lives */
 } member_t;
 
 typedef struct {
@@ -98,7 +99,7 @@
 
 /* The member at that address, made if it is new; NULL if there are too many. The table owns what is
  * returned; the next new member may move it. */
-member_t *members_at(members_t *members, const addr_t *peer);
+member_t *members_find_or_add(members_t *members, const addr_t *peer);
 bool member_alive(const member_t *member, uint64_t now_ms);
 /* Number of living members of its region whose name comes before `own`: of those that the store
  * serves, or of all. */
@@ -111,9 +112,9 @@
  * `age_ms`: one of that region, or in a small fleet any. */
 bool members_watch_store(const members_t *members, size_t region, uint32_t age_ms, uint64_t now_ms);
 /* True if the store is away for all, as far as is known: it answers no living member, and fails
- * MEMBERS_WITNESSES of them, or all if there are fewer. The one named `own` is told by
+ * MEMBERS_OUTAGE_QUORUM of them, or all if there are fewer. The one named `own` is told by
  * `own_failing`; most instances of a large fleet do not call the store and cannot tell. */
-bool members_store_is_away(const members_t *members, str_t own, bool own_failing, uint32_t age_ms,
+bool members_store_is_down(const members_t *members, str_t own, bool own_failing, uint32_t age_ms,
                            uint64_t now_ms);
 /* True if the store fails a living member. */
 bool members_store_fails_any(const members_t *members, uint64_t now_ms);
@@ -125,7 +126,7 @@
  * not had an answer for each kind yet does not say that it watches. */
 bool members_store_serves(const members_t *members, uint32_t age_ms, uint64_t now_ms);
 /* Silence, in milliseconds, after which an instance is not named to callers any more. */
-uint64_t member_unnamed_after_ms(const member_t *member);
+uint64_t member_unlisted_after_ms(const member_t *member);
 /* Slots of a service that the callers of a region keep busy: for the own region the sum over its
  * living members, for another region what its member heard last says. */
 double members_demand(const members_t *members, str_t service, size_t region, size_t own_region,
@@ -133,8 +134,8 @@
 /* Requests a second that the living members of a region carry. */
 double members_requests_per_s(const members_t *members, size_t region, uint64_t now_ms);
 /* Living members of all regions, and of one. */
-size_t members_living_everywhere(const members_t *members, uint64_t now_ms);
-size_t members_living(const members_t *members, size_t region, uint64_t now_ms);
+size_t members_count_alive(const members_t *members, uint64_t now_ms);
+size_t members_count_alive_in_region(const members_t *members, size_t region, uint64_t now_ms);
 /* Instances of all regions: those ever heard of, or more if other regions say so. */
 size_t members_total(const members_t *members, size_t own_region);
 /* Milliseconds between two heartbeats of an instance of that region. */
--- a/gateway/membership/owner.c
+++ b/gateway/membership/owner.c
@@ -3,7 +3,7 @@
 #include <math.h>
 
 /* Instances of the own region that are asked one after the other; see the header. */
-enum { ASKED_MAX = 3 };
+enum { FALLBACKS_MAX = 3 };
 
 /* Cores of an instance that does not tell. Chosen: of the smallest ones of the users' sites. */
 #define CORES_DEFAULT 0.1
@@ -14,18 +14,18 @@
 } ranked_t;
 
 static bool
-may_own(const owner_input_t *input, const member_t *member)
+is_eligible(const owner_input_t *input, const member_t *member)
 {
-    const bool knows_how =
-        input->kind == OWNER_OF_ACCOUNT ? member->reads_accounts : member->gives_permits;
-    if (!member->heard || member->region != input->region || member->leaving || !knows_how ||
-        member->refuses)
+    const bool is_supported =
+        input->kind == OWNER_OF_ACCOUNT ? member->supports_accounts : member->supports_permits;
+    if (!member->heard || member->region != input->region || member->leaving || !is_supported ||
+        member->refuses_connections)
         return false;
-    return !input->is_judged || member_alive(member, input->now_ms);
+    return !input->liveness_known || member_alive(member, input->now_ms);
 }
 
 static double
-score_of(const owner_input_t *input, const member_t *member)
+weighted_score(const owner_input_t *input, const member_t *member)
 {
     const double cores =
         member->capacity.cpu_cores > 0 ? member->capacity.cpu_cores : CORES_DEFAULT;
@@ -40,9 +40,9 @@
     size_t count = 0;
     for (size_t i = 0; i < input->members->count; i++) {
         member_t *member = &input->members->items[i];
-        if (!may_own(input, member))
+        if (!is_eligible(input, member))
             continue;
-        ranked_t next = {member, score_of(input, member)};
+        ranked_t next = {member, weighted_score(input, member)};
         for (size_t k = 0; k < OWNER_RANKS && next.member != NULL; k++) {
             if (best[k].member != NULL && best[k].score >= next.score)
                 continue;
@@ -60,9 +60,9 @@
 {
     ranked_t best[OWNER_RANKS] = {0};
     const size_t count = rank(input, best);
-    if (!input->is_judged)
+    if (!input->liveness_known)
         return input->rank < count ? best[input->rank].member : NULL;
-    for (size_t i = 0; i < count && i < ASKED_MAX; i++) {
+    for (size_t i = 0; i < count && i < FALLBACKS_MAX; i++) {
         if (input->kind != OWNER_OF_ACCOUNT ||
             input->now_ms >= best[i].member->accounts_avoided_until_ms)
             return best[i].member;
--- a/gateway/membership/owner.h
+++ b/gateway/membership/owner.h
@@ -31,8 +31,8 @@
     owner_kind_t kind;
     uint64_t key; /* of what is owned */
     size_t region;
-    bool is_judged; /* heartbeats tell who lives there */
-    size_t rank;    /* where they do not: 0 the owner, above who comes after that many others */
+    bool liveness_known; /* heartbeats tell who lives there */
+    size_t rank; /* where they do not: 0 the owner, above who comes after that many others */
     uint64_t now_ms;
 } owner_input_t;
 
--- a/gateway/membership/permit_exchange.c
+++ b/gateway/membership/permit_exchange.c
@@ -35,7 +35,7 @@
 }
 
 void
-permit_exchange_init(permit_exchange_t *exchange, const notice_conf_t *conf)
+permit_exchange_init(permit_exchange_t *exchange, const notice_gossip_conf_t *conf)
 {
     *exchange = (permit_exchange_t){.conf = *conf};
 }
@@ -76,7 +76,8 @@
         .kind = OWNER_OF_BACKEND,
         .key = backend->key,
         .region = region,
-        .is_judged = region == exchange->conf.region || members->count <= MEMBERS_MESH,
+        .liveness_known =
+            region == exchange->conf.region || members->count <= MEMBERS_FULL_MESH_MAX,
         .rank = backend->permits_unanswered % OWNER_RANKS,
         .now_ms = current_ms(exchange),
     };
@@ -100,8 +101,8 @@
     size_t heard = 0;
     for (size_t i = 0; i < members->count; i++) {
         const member_t *member = &members->items[i];
-        if (!member->heard || member->region != exchange->conf.region || member->refuses ||
-            now_ms - member->heard_ms > MEMBER_EXPIRE_MS)
+        if (!member->heard || member->region != exchange->conf.region ||
+            member->refuses_connections || now_ms - member->heard_ms > MEMBER_EXPIRE_MS)
             continue;
         known++;
         heard += member_alive(member, now_ms);
--- a/gateway/membership/permit_exchange.h
+++ b/gateway/membership/permit_exchange.h
@@ -12,7 +12,7 @@
  */
 #pragma once
 
-#include "gateway/membership/notice_news.h"
+#include "gateway/membership/notice_gossip.h"
 #include "gateway/state/permits.h"
 
 /* The answer has come. Not called after permit_cancel(). */
@@ -21,7 +21,7 @@
 typedef struct pending_permit pending_permit_t;
 
 typedef struct {
-    notice_conf_t conf;
+    notice_gossip_conf_t conf;
     permits_t permits;
     pending_permit_t *pending;
     uint64_t last_number; /* of the last request */
@@ -33,7 +33,7 @@
     PERMIT_PENDING, /* the callback tells */
 } permit_result_t;
 
-void permit_exchange_init(permit_exchange_t *exchange, const notice_conf_t *conf);
+void permit_exchange_init(permit_exchange_t *exchange, const notice_gossip_conf_t *conf);
 /* A request is about to be sent to that backend. `pending` is set if an answer is to come. */
 permit_result_t permit_acquire(permit_exchange_t *exchange, backend_t *backend, permit_cb_t cb,
                                void *ctx, pending_permit_t **pending);
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -91,7 +91,7 @@
 {
     const uint64_t now_ms = loop_now(router->loop);
     router->instances = (unsigned)members_total(members, router->region);
-    router->living = (unsigned)members_living_everywhere(members, now_ms);
+    router->living = (unsigned)members_count_alive(members, now_ms);
     router->sender_count = members_cold_senders(members, router->senders, MEMBERS_MAX);
     router->senders_settled = now_ms - router->started_ms > SETTLED_AFTER_MS;
 }
--- a/gateway/state/store_watch.c
+++ b/gateway/state/store_watch.c
@@ -123,7 +123,7 @@
 notice_outage(store_watch_t *watch, uint64_t now_ms)
 {
     const bool fails = store_watch_is_failing(watch);
-    if (watch->away || !members_store_is_away(watch->conf.members, name_str(&watch->instance),
+    if (watch->away || !members_store_is_down(watch->conf.members, name_str(&watch->instance),
                                               fails, answer_age_max_ms(watch, now_ms), now_ms))
         return;
     watch->away = true;
@@ -206,7 +206,8 @@
     const uint64_t pause_ms = (uint64_t)RETRY_MIN_MS * watch->failures;
     if (is_needed_once(kind))
         return pause_ms < RETRY_MAX_MS ? pause_ms : RETRY_MAX_MS;
-    const size_t instances = members_living(watch->conf.members, watch->conf.region, now_ms);
+    const size_t instances =
+        members_count_alive_in_region(watch->conf.members, watch->conf.region, now_ms);
     const uint64_t look_ms = store_turns_look_ms(rank_of(watch, false, now_ms), instances);
     return store_watch_is_failing(watch) || pause_ms > look_ms ? look_ms : pause_ms;
 }
--- a/gateway/state/suspects.h
+++ b/gateway/state/suspects.h
@@ -3,7 +3,7 @@
  * against each.
  *
  * The evidence is the set of lives of backend servers that ended under a request, and when a run
- * of it last finished. Instances put theirs together (membership/suspect_news.h): sets are
+ * of it last finished. Instances put theirs together (membership/suspect_gossip.h): sets are
  * joined, and ends up to the last finished run do not count, so that it does not matter in which
  * order, how often and by whom news comes. What follows from it is policy/quarantine.h's
  * decision.
--- a/gateway/state/view_push.c
+++ b/gateway/state/view_push.c
@@ -81,7 +81,7 @@
         .members = push->conf.members,
         .instance = name_str(&push->instance),
         .region = push->conf.region,
-        .all_regions = push->conf.members->count <= MEMBERS_MESH && bytes <= FAR_MAX,
+        .all_regions = push->conf.members->count <= MEMBERS_FULL_MESH_MAX && bytes <= FAR_MAX,
         .now_ms = loop_now(push->conf.loop),
     };
 }
--- a/test/gateway/test_accounts.c
+++ b/test/gateway/test_accounts.c
@@ -433,12 +433,14 @@
         addr_t addr;
         snprintf(text, sizeof(text), "10.0.0.%u:1", i + 1);
         ck_assert(addr_parse(str_from(text), &addr));
-        member_t *member = members_at(&members, &addr);
-        *member = (member_t){.peer = addr, .heard = true, .heard_ms = 1000, .reads_accounts = true};
+        member_t *member = members_find_or_add(&members, &addr);
+        *member =
+            (member_t){.peer = addr, .heard = true, .heard_ms = 1000, .supports_accounts = true};
         snprintf(text, sizeof(text), "g-%u", i);
         name_set(&member->instance, str_from(text));
     }
-    const owner_input_t input = {.members = &members, .key = 42, .is_judged = true, .now_ms = 1000};
+    const owner_input_t input = {
+        .members = &members, .key = 42, .liveness_known = true, .now_ms = 1000};
     member_t *owner = owner_find(&input);
     ck_assert_ptr_nonnull(owner);
     owner->accounts_avoided_until_ms = 2000;
@@ -447,7 +449,7 @@
     next->accounts_avoided_until_ms = 2000;
     owner_find(&input)->accounts_avoided_until_ms = 2000;
     ck_assert_ptr_eq(owner_find(&input), owner); /* three are asked, and then the first again */
-    owner->refuses = true;
+    owner->refuses_connections = true;
     ck_assert_ptr_ne(owner_find(&input), owner);
     members_free(&members);
 }
--- a/test/gateway/test_members.c
+++ b/test/gateway/test_members.c
@@ -18,7 +18,7 @@
     addr_t addr;
     snprintf(text, sizeof(text), "10.0.0.1:%u", port);
     ck_assert(addr_parse(str_from(text), &addr));
-    member_t *member = members_at(members, &addr);
+    member_t *member = members_find_or_add(members, &addr);
     member->heard = true;
     member->heard_ms = 10000;
     member->ready = true;
@@ -48,7 +48,7 @@
 
 START_TEST(a_large_fleet_talks_little_between_regions)
 {
-    enum { A_REGION = 50, ROUNDS = A_REGION / MEMBERS_OTHER_REGION };
+    enum { A_REGION = 50, ROUNDS = A_REGION / MEMBERS_PER_REMOTE_REGION };
     members_t members = {0};
     bool told[2 * A_REGION] = {false};
     for (unsigned i = 0; i < 2 * A_REGION; i++) {
@@ -59,7 +59,7 @@
         member->heard = i % 2 == 0 || i < 4; /* few of the other region have been heard */
     }
     ck_assert_uint_eq(members_total(&members, 0), 2 * A_REGION);
-    ck_assert_uint_eq(members_interval_ms(&members, 0, 10100), A_REGION * HEARTBEAT_MEMBER_MS);
+    ck_assert_uint_eq(members_interval_ms(&members, 0, 10100), A_REGION * HEARTBEAT_MS_PER_MEMBER);
     for (unsigned round = 0; round < ROUNDS; round++) {
         size_t near = 0;
         size_t far = 0;
@@ -70,7 +70,7 @@
             *(i % 2 == 0 ? &near : &far) += 1;
         }
         ck_assert_uint_eq(near, A_REGION);
-        ck_assert_uint_eq(far, MEMBERS_OTHER_REGION);
+        ck_assert_uint_eq(far, MEMBERS_PER_REMOTE_REGION);
     }
     for (size_t i = 0; i < ALEN(told); i++)
         ck_assert(told[i]);
@@ -96,7 +96,7 @@
     const heartbeat_conf_t conf = {
         .settings = &settings, .members = &members, .services = &services, .traffic = &traffic};
     heartbeat_init(&heartbeat, &conf, 1000);
-    const member_t *self = members_at(&members, &settings.peer);
+    const member_t *self = members_find_or_add(&members, &settings.peer);
     ck_assert_uint_eq(self->demand_count, MEMBER_DEMANDS_MAX);
     for (int i = BUSY_FROM; i < SERVICES; i++) {
         snprintf(name, sizeof(name), "s%03d", i);
@@ -175,10 +175,10 @@
     ck_assert_uint_eq(members_rank_in_region(&members, STR("a-2"), 0, true, 10500), 0);
     ck_assert_uint_eq(members_rank_in_region(&members, STR("a-3"), 0, true, 10500), 1);
     /* Turned away is not down: others are served. */
-    ck_assert(!members_store_is_away(&members, STR("a-1"), true, 3500, 10500));
+    ck_assert(!members_store_is_down(&members, STR("a-1"), true, 3500, 10500));
     members.items[1].store_failing = true;
     members.items[2].store_failing = true;
-    ck_assert(members_store_is_away(&members, STR("a-1"), true, 3500, 10500));
+    ck_assert(members_store_is_down(&members, STR("a-1"), true, 3500, 10500));
     members_free(&members);
 }
 END_TEST
--- a/test/gateway/test_outage.c
+++ b/test/gateway/test_outage.c
@@ -180,7 +180,7 @@
 {
     addr_t addr;
     ck_assert(addr_parse(str_from(addr_text), &addr));
-    member_t *peer = members_at(&rig->members, &addr);
+    member_t *peer = members_find_or_add(&rig->members, &addr);
     peer->heard = true;
     peer->region = rig->watch.conf.region;
     peer->heard_ms = uv_now(&rig->loop);
