--- a/test/gateway/test_members.c
+++ b/test/gateway/test_members.c
@@ -29,7 +29,7 @@
     return member;
 }
 
-START_TEST(members_judge_by_silence)
+START_TEST(silent_members_are_not_counted)
 {
     members_t members = {0};
     add_member(&members, "a-1", "a1", 0, 1);
@@ -46,40 +46,41 @@
 }
 END_TEST
 
-START_TEST(a_large_fleet_talks_little_between_regions)
+START_TEST(large_fleet_limits_heartbeats_between_regions)
 {
-    enum { A_REGION = 50, ROUNDS = A_REGION / MEMBERS_PER_REMOTE_REGION };
+    enum { REGION_SIZE = 50, ROUNDS = REGION_SIZE / MEMBERS_PER_REMOTE_REGION };
     members_t members = {0};
-    bool told[2 * A_REGION] = {false};
-    for (unsigned i = 0; i < 2 * A_REGION; i++) {
+    bool targeted[2 * REGION_SIZE] = {false};
+    for (unsigned i = 0; i < 2 * REGION_SIZE; i++) {
         char name[16];
         snprintf(name, sizeof(name), "g-%u", i);
         member_t *member = add_member(&members, name, "a1", i % 2, (uint16_t)(i + 1));
-        member->region_members = A_REGION;
+        member->region_members = REGION_SIZE;
         member->heard = i % 2 == 0 || i < 4; /* few of the other region have been heard */
     }
-    ck_assert_uint_eq(members_total(&members, 0), 2 * A_REGION);
-    ck_assert_uint_eq(members_interval_ms(&members, 0, 10100), A_REGION * HEARTBEAT_MS_PER_MEMBER);
+    ck_assert_uint_eq(members_total(&members, 0), 2 * REGION_SIZE);
+    ck_assert_uint_eq(members_interval_ms(&members, 0, 10100),
+                      REGION_SIZE * HEARTBEAT_MS_PER_MEMBER);
     for (unsigned round = 0; round < ROUNDS; round++) {
-        size_t near = 0;
-        size_t far = 0;
+        size_t region_count = 0;
+        size_t remote_count = 0;
         for (size_t i = 0; i < members.count; i++) {
             if (!members_is_target(&members, i, 0, round, 10100))
                 continue;
-            told[i] = true;
-            *(i % 2 == 0 ? &near : &far) += 1;
+            targeted[i] = true;
+            *(i % 2 == 0 ? &region_count : &remote_count) += 1;
         }
-        ck_assert_uint_eq(near, A_REGION);
-        ck_assert_uint_eq(far, MEMBERS_PER_REMOTE_REGION);
+        ck_assert_uint_eq(region_count, REGION_SIZE);
+        ck_assert_uint_eq(remote_count, MEMBERS_PER_REMOTE_REGION);
     }
-    for (size_t i = 0; i < ALEN(told); i++)
-        ck_assert(told[i]);
+    for (size_t i = 0; i < ALEN(targeted); i++)
+        ck_assert(targeted[i]);
     members_free(&members);
 }
 END_TEST
 
 /* More services than a heartbeat holds: the ones with the greatest demand are told. */
-START_TEST(the_greatest_demands_are_told)
+START_TEST(heartbeat_carries_greatest_demands)
 {
     enum { SERVICES = 4 * MEMBER_DEMANDS_MAX, BUSY_FROM = SERVICES - 3 };
     static gateway_settings_t settings;
@@ -107,7 +108,7 @@
 }
 END_TEST
 
-START_TEST(another_regions_demand_is_as_it_says)
+START_TEST(remote_region_demand_is_as_reported)
 {
     members_t members = {0};
     member_t *own = add_member(&members, "a-1", "a1", 0, 1);
@@ -125,7 +126,7 @@
 }
 END_TEST
 
-START_TEST(no_region_depends_on_one_watcher)
+START_TEST(each_region_has_two_store_watchers)
 {
     /* Turned away in silence, a watcher is not known to be for seconds: another watches too. */
     members_t members = {0};
@@ -141,11 +142,11 @@
 }
 END_TEST
 
-START_TEST(rare_heartbeats_do_not_make_the_store_look_lost)
+START_TEST(long_heartbeat_interval_does_not_fail_store_check)
 {
     /* In a large region heartbeats come every 1.2 s: what the watcher tells is older when read.
      * Else all instances of the region watch the store, and each sends on what it learns. */
-    enum { A_REGION = 100 };
+    enum { REGION_SIZE = 100 };
     members_t members = {0};
     member_t *watcher = add_member(&members, "g-0", "a1", 0, 1);
     watcher->store_age_ms = 3400;
@@ -153,7 +154,7 @@
     ck_assert(members_watch_store(&members, 0, members_store_age_max_ms(&members, 0, late), late));
     ck_assert(
         !members_watch_store(&members, 0, members_store_age_max_ms(&members, 0, late), late + 200));
-    for (unsigned i = 1; i < A_REGION; i++)
+    for (unsigned i = 1; i < REGION_SIZE; i++)
         add_member(&members, "g-n", "a1", 0, (uint16_t)(i + 1));
     members.items[0].interval_ms = HEARTBEAT_MAX_MS;
     const uint64_t later = 10000 + HEARTBEAT_MAX_MS;
@@ -163,7 +164,7 @@
 }
 END_TEST
 
-START_TEST(the_next_instance_watches_when_the_store_fails_the_first)
+START_TEST(next_instance_watches_when_first_is_refused)
 {
     members_t members = {0};
     add_member(&members, "a-1", "a1", 0, 1);
@@ -183,7 +184,7 @@
 }
 END_TEST
 
-START_TEST(directory_names_the_living_and_near)
+START_TEST(directory_lists_nearest_alive_instances)
 {
     topology_t topology = three_regions();
     members_t members = {0};
@@ -205,8 +206,8 @@
 END_TEST
 
 static naming_instance_t
-instance_of(uint64_t key, double link_mbps, double cpu_cores, double requests_per_s,
-            double bytes_per_s)
+make_instance(uint64_t key, double link_mbps, double cpu_cores, double requests_per_s,
+              double bytes_per_s)
 {
     return (naming_instance_t){
         .key = key,
@@ -217,44 +218,44 @@
     };
 }
 
-START_TEST(naming_takes_the_fewest_that_carry_the_traffic)
+START_TEST(naming_picks_fewest_instances_for_traffic)
 {
-    naming_instance_t all[8];
+    naming_instance_t instances[8];
     /* Two strong and six weak ones, 400 requests and 8 MB a second together. */
-    for (uint64_t i = 0; i < ALEN(all); i++)
-        all[i] = instance_of(i, i >= 6 ? 200 : 10, i >= 6 ? 0.5 : 0.1, 50, 1e6);
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 2);
-    ck_assert_uint_eq(all[0].key, 6);
-    ck_assert_uint_eq(all[1].key, 7);
+    for (uint64_t i = 0; i < ALEN(instances); i++)
+        instances[i] = make_instance(i, i >= 6 ? 200 : 10, i >= 6 ? 0.5 : 0.1, 50, 1e6);
+    ck_assert_uint_eq(naming_decide(instances, ALEN(instances)), 2);
+    ck_assert_uint_eq(instances[0].key, 6);
+    ck_assert_uint_eq(instances[1].key, 7);
     /* The strong ones cannot carry 24 MB/s, nor can all in equal parts. */
-    for (size_t i = 0; i < ALEN(all); i++)
-        all[i].bytes_per_s = 3e6;
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 8);
+    for (size_t i = 0; i < ALEN(instances); i++)
+        instances[i].bytes_per_s = 3e6;
+    ck_assert_uint_eq(naming_decide(instances, ALEN(instances)), 8);
     /* Equal ones of 10 Mbit/s: 1.25 MB/s go to three, at 0.33 of their links. */
-    for (uint64_t i = 0; i < ALEN(all); i++)
-        all[i] = instance_of(i, 10, 0.5, 10, 156250);
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 3);
+    for (uint64_t i = 0; i < ALEN(instances); i++)
+        instances[i] = make_instance(i, 10, 0.5, 10, 156250);
+    ck_assert_uint_eq(naming_decide(instances, ALEN(instances)), 3);
     /* Requests that cost processor time count as well: 800 a second at 0.2 ms on 0.1 cores. */
-    for (uint64_t i = 0; i < ALEN(all); i++)
-        all[i] = instance_of(i, 1000, 0.1, 100, 0);
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 4);
+    for (uint64_t i = 0; i < ALEN(instances); i++)
+        instances[i] = make_instance(i, 1000, 0.1, 100, 0);
+    ck_assert_uint_eq(naming_decide(instances, ALEN(instances)), 4);
 }
 END_TEST
 
-START_TEST(naming_without_traffic_goes_by_what_was_given)
+START_TEST(naming_without_traffic_uses_configured_capacity)
 {
-    naming_instance_t all[8];
-    for (uint64_t i = 0; i < ALEN(all); i++)
-        all[i] = instance_of(i, i < 2 ? 200 : 10, 0.5, 0, 0);
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 2);
-    for (uint64_t i = 0; i < ALEN(all); i++)
-        all[i] = instance_of(i, 10, 0.5, 0, 0);
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 4);
+    naming_instance_t instances[8];
+    for (uint64_t i = 0; i < ALEN(instances); i++)
+        instances[i] = make_instance(i, i < 2 ? 200 : 10, 0.5, 0, 0);
+    ck_assert_uint_eq(naming_decide(instances, ALEN(instances)), 2);
+    for (uint64_t i = 0; i < ALEN(instances); i++)
+        instances[i] = make_instance(i, 10, 0.5, 0, 0);
+    ck_assert_uint_eq(naming_decide(instances, ALEN(instances)), 4);
     /* One that does not say, as before an upgrade: all are named. */
-    all[3].link_bytes_per_s = 0;
-    ck_assert_uint_eq(naming_decide(all, ALEN(all)), 8);
-    ck_assert_uint_eq(naming_decide(all, 1), 1);
-    ck_assert_uint_eq(naming_decide(all, 0), 0);
+    instances[3].link_bytes_per_s = 0;
+    ck_assert_uint_eq(naming_decide(instances, ALEN(instances)), 8);
+    ck_assert_uint_eq(naming_decide(instances, 1), 1);
+    ck_assert_uint_eq(naming_decide(instances, 0), 0);
 }
 END_TEST
 
@@ -278,16 +279,16 @@
 {
     Suite *suite = suite_create("gateway: members");
     TCase *tests = tcase_create("members");
-    tcase_add_test(tests, members_judge_by_silence);
-    tcase_add_test(tests, a_large_fleet_talks_little_between_regions);
-    tcase_add_test(tests, the_greatest_demands_are_told);
-    tcase_add_test(tests, another_regions_demand_is_as_it_says);
-    tcase_add_test(tests, no_region_depends_on_one_watcher);
-    tcase_add_test(tests, rare_heartbeats_do_not_make_the_store_look_lost);
-    tcase_add_test(tests, the_next_instance_watches_when_the_store_fails_the_first);
-    tcase_add_test(tests, directory_names_the_living_and_near);
-    tcase_add_test(tests, naming_takes_the_fewest_that_carry_the_traffic);
-    tcase_add_test(tests, naming_without_traffic_goes_by_what_was_given);
+    tcase_add_test(tests, silent_members_are_not_counted);
+    tcase_add_test(tests, large_fleet_limits_heartbeats_between_regions);
+    tcase_add_test(tests, heartbeat_carries_greatest_demands);
+    tcase_add_test(tests, remote_region_demand_is_as_reported);
+    tcase_add_test(tests, each_region_has_two_store_watchers);
+    tcase_add_test(tests, long_heartbeat_interval_does_not_fail_store_check);
+    tcase_add_test(tests, next_instance_watches_when_first_is_refused);
+    tcase_add_test(tests, directory_lists_nearest_alive_instances);
+    tcase_add_test(tests, naming_picks_fewest_instances_for_traffic);
+    tcase_add_test(tests, naming_without_traffic_uses_configured_capacity);
     tcase_add_test(tests, traffic_is_averaged_over_seconds);
     suite_add_tcase(suite, tests);
     return suite;
--- a/test/gateway/test_peers.c
+++ b/test/gateway/test_peers.c
@@ -10,18 +10,18 @@
 
 /* A store that turns everybody away. */
 static store_port_t
-closed_store(site_t *site)
+refusing_store(site_t *site)
 {
-    standin_store_t *closed = standin_store_start(&site->loop, &site->any);
-    standin_store_set_mode(closed, STANDIN_STORE_BUSY);
-    const addr_t addr = standin_store_addr(closed);
+    standin_store_t *store = standin_store_start(&site->loop, &site->any);
+    standin_store_set_mode(store, STANDIN_STORE_BUSY);
+    const addr_t addr = standin_store_addr(store);
     return platform_store_port(platform_store_new(&site->loop, &addr));
 }
 
-START_TEST(an_instance_without_the_store_learns_from_its_peer)
+START_TEST(instance_without_store_syncs_from_peer)
 {
     site_t *site = new_ready_site(1);
-    const store_port_t port = closed_store(site);
+    const store_port_t port = refusing_store(site);
     gateway_t *second = start_gateway(site, "g-2", &port, &gateway_settings(site->gateway)->peer);
     use_gateway(site, second);
     RUN_UNTIL(site, is_ready(site));
@@ -33,7 +33,7 @@
 END_TEST
 
 /* Found on the users' bench: with 80 instances each alone sees too little of a slow backend. */
-START_TEST(instances_tell_each_other_which_backends_fail)
+START_TEST(instances_share_failing_backends)
 {
     enum { FAILURES = 12 };
     site_t *site = new_ready_site(2);
@@ -55,17 +55,17 @@
 }
 END_TEST
 
-START_TEST(instances_that_are_behind_do_not_keep_each_other_there)
+START_TEST(outdated_instances_do_not_block_each_other)
 {
     /* Three instances; the change comes by a list, which is not sent on, and two have to ask. */
     site_t *site = new_ready_site(1);
-    const store_port_t port = closed_store(site);
+    const store_port_t port = refusing_store(site);
     const addr_t *seed = &gateway_settings(site->gateway)->peer;
-    gateway_t *behind[] = {start_gateway(site, "g-2", &port, seed),
-                           start_gateway(site, "g-3", &port, seed)};
-    wire_pool_t *pools[ALEN(behind)];
-    for (size_t i = 0; i < ALEN(behind); i++) {
-        use_gateway(site, behind[i]);
+    gateway_t *outdated[] = {start_gateway(site, "g-2", &port, seed),
+                             start_gateway(site, "g-3", &port, seed)};
+    wire_pool_t *pools[ALEN(outdated)];
+    for (size_t i = 0; i < ALEN(outdated); i++) {
+        use_gateway(site, outdated[i]);
         pools[i] = site->callers;
         RUN_UNTIL(site, is_ready(site));
     }
@@ -76,7 +76,7 @@
         put_config(site, prefix);
         standin_store_forget(site->store);
         standin_store_set_mode(site->store, STANDIN_STORE_SERVES);
-        for (size_t i = 0; i < ALEN(behind); i++) {
+        for (size_t i = 0; i < ALEN(outdated); i++) {
             site->callers = pools[i];
             RUN_UNTIL(site, ask(site, "GET", prefix).status == 200);
         }
@@ -84,11 +84,11 @@
 }
 END_TEST
 
-START_TEST(a_large_configuration_reaches_the_peer)
+START_TEST(large_configuration_is_fetched_from_peer)
 {
     /* Above what is sent between regions unasked. */
     site_t *site = new_ready_site(1);
-    const store_port_t port = closed_store(site);
+    const store_port_t port = refusing_store(site);
     gateway_t *second = start_gateway(site, "g-2", &port, &gateway_settings(site->gateway)->peer);
     use_gateway(site, second);
     RUN_UNTIL(site, is_ready(site));
@@ -99,17 +99,17 @@
 }
 END_TEST
 
-START_TEST(a_large_view_is_read_from_the_store_or_else_from_a_peer)
+START_TEST(large_view_is_read_from_store_or_peer)
 {
     /* 1,500 backends, and more changes at once than peers keep. */
-    enum { MANY = 1500 };
+    enum { BACKENDS = 1500 };
     site_t *site = new_ready_site(1);
     gateway_t *second =
         start_gateway(site, "g-2", &site->store_port, &gateway_settings(site->gateway)->peer);
     use_gateway(site, second);
     RUN_UNTIL(site, is_ready(site));
     standin_store_set_mode(site->store, STANDIN_STORE_RESETS);
-    for (int i = 0; i < MANY; i++) {
+    for (int i = 0; i < BACKENDS; i++) {
         char id[16];
         snprintf(id, sizeof(id), "other-%04d", i);
         standin_store_put(site->store, "servers", id,
@@ -125,7 +125,7 @@
 }
 END_TEST
 
-START_TEST(a_failed_list_of_instances_is_asked_again)
+START_TEST(failed_instance_list_is_retried)
 {
     /* No seeds: the instances find each other by the store alone. */
     site_t *site = new_ready_site(1);
@@ -135,7 +135,7 @@
 }
 END_TEST
 
-START_TEST(a_reply_lost_by_the_store_is_no_second_announcement)
+START_TEST(lost_store_reply_does_not_announce_twice)
 {
     site_t *site = new_site(1);
     standin_store_set_mode(site->store, STANDIN_STORE_LOSES);
@@ -151,13 +151,13 @@
     Suite *suite = suite_create("gateway: peers");
     TCase *tests = tcase_create("peers");
     tcase_set_timeout(tests, 120);
-    tcase_add_test(tests, an_instance_without_the_store_learns_from_its_peer);
-    tcase_add_test(tests, instances_tell_each_other_which_backends_fail);
-    tcase_add_test(tests, instances_that_are_behind_do_not_keep_each_other_there);
-    tcase_add_test(tests, a_large_configuration_reaches_the_peer);
-    tcase_add_test(tests, a_large_view_is_read_from_the_store_or_else_from_a_peer);
-    tcase_add_test(tests, a_failed_list_of_instances_is_asked_again);
-    tcase_add_test(tests, a_reply_lost_by_the_store_is_no_second_announcement);
+    tcase_add_test(tests, instance_without_store_syncs_from_peer);
+    tcase_add_test(tests, instances_share_failing_backends);
+    tcase_add_test(tests, outdated_instances_do_not_block_each_other);
+    tcase_add_test(tests, large_configuration_is_fetched_from_peer);
+    tcase_add_test(tests, large_view_is_read_from_store_or_peer);
+    tcase_add_test(tests, failed_instance_list_is_retried);
+    tcase_add_test(tests, lost_store_reply_does_not_announce_twice);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_silent.c
+++ b/test/gateway/test_silent.c
@@ -11,7 +11,7 @@
 #include "wire/client.h"
 
 enum {
-    PATIENCE_MS = 6000,
+    WAIT_TIMEOUT_MS = 6000,
     CONNECTIONS_MAX = 8,
     TIMEOUT_MS = 150,
     STALLED_MS = 400,
@@ -21,7 +21,7 @@
 /* A server whose connections fall silent on demand: it takes what they send and never answers. */
 typedef struct {
     uv_loop_t loop;
-    uv_timer_t guard;
+    uv_timer_t wait_timer;
     bool timed_out;
     uv_tcp_t listener;
     addr_t addr;
@@ -33,18 +33,18 @@
 } server_t;
 
 static void
-on_guard(uv_timer_t *timer)
+on_wait_timeout(uv_timer_t *timer)
 {
     ((server_t *)timer->data)->timed_out = true;
 }
 
 #define RUN_UNTIL(server, condition)                                                               \
     do {                                                                                           \
-        uv_timer_start(&(server)->guard, on_guard, PATIENCE_MS, 0);                                \
+        uv_timer_start(&(server)->wait_timer, on_wait_timeout, WAIT_TIMEOUT_MS, 0);                \
         (server)->timed_out = false;                                                               \
         while (!(condition) && !(server)->timed_out)                                               \
             uv_run(&(server)->loop, UV_RUN_ONCE);                                                  \
-        uv_timer_stop(&(server)->guard);                                                           \
+        uv_timer_stop(&(server)->wait_timer);                                                      \
         ck_assert_msg(condition, "not reached: %s", #condition);                                   \
     } while (0)
 
@@ -94,8 +94,8 @@
     int small = SMALL_BUFFER;
     int len = sizeof(server->addr);
     uv_loop_init(&server->loop);
-    uv_timer_init(&server->loop, &server->guard);
-    server->guard.data = server;
+    uv_timer_init(&server->loop, &server->wait_timer);
+    server->wait_timer.data = server;
     server->reads = true;
     uv_tcp_init(&server->loop, &server->listener);
     server->listener.data = server;
@@ -146,9 +146,9 @@
     const wire_call_conf_t conf = {
         .request = bytes,
         .request_len = sizeof(request) - 1,
-        .connect_timeout_ms = PATIENCE_MS,
+        .connect_timeout_ms = WAIT_TIMEOUT_MS,
         .timeout_ms = timeout_ms,
-        .idle_max_ms = PATIENCE_MS,
+        .idle_max_ms = WAIT_TIMEOUT_MS,
     };
     *reply = (reply_t){0};
     return wire_call_start(pool, &conf, &cbs, reply);
@@ -156,7 +156,7 @@
 
 /* A pool with three kept connections, all of them silent from now on. */
 static wire_pool_t *
-pool_gone_silent(server_t *server)
+new_silent_pool(server_t *server)
 {
     wire_pool_t *pool = wire_pool_new(&server->loop, &server->addr, CONNECTIONS_MAX);
     reply_t replies[3];
@@ -168,10 +168,10 @@
     return pool;
 }
 
-START_TEST(a_call_to_the_store_is_not_lost_to_each_silent_connection)
+START_TEST(call_after_timeout_uses_new_connection)
 {
     server_t *server = new_server();
-    wire_pool_t *pool = pool_gone_silent(server);
+    wire_pool_t *pool = new_silent_pool(server);
     reply_t reply;
     start_call(pool, &reply, TIMEOUT_MS);
     RUN_UNTIL(server, reply.done);
@@ -183,10 +183,10 @@
 }
 END_TEST
 
-START_TEST(an_attempt_given_up_spares_the_next_a_silent_connection)
+START_TEST(call_after_give_up_uses_new_connection)
 {
     server_t *server = new_server();
-    wire_pool_t *pool = pool_gone_silent(server);
+    wire_pool_t *pool = new_silent_pool(server);
     reply_t reply;
     wire_call_t *call = start_call(pool, &reply, 0);
     RUN_UNTIL(server, server->bytes[0] + server->bytes[1] + server->bytes[2] > 3 * 27);
@@ -197,10 +197,10 @@
 }
 END_TEST
 
-START_TEST(a_caller_that_leaves_says_nothing_of_the_connections)
+START_TEST(cancelled_call_keeps_connections)
 {
     server_t *server = new_server();
-    wire_pool_t *pool = pool_gone_silent(server);
+    wire_pool_t *pool = new_silent_pool(server);
     reply_t reply;
     server->silent = 0;
     wire_call_cancel(start_call(pool, &reply, 0));
@@ -212,7 +212,7 @@
 END_TEST
 
 /* The loop was held up beyond the call's time; the answer lies in the socket. */
-START_TEST(an_answer_that_has_come_is_read_before_the_call_is_given_up)
+START_TEST(received_answer_is_read_before_timeout)
 {
     enum { LONG_TIMEOUT_MS = 1500 }; /* the request is sent within it, also on a busy machine */
     server_t *server = new_server();
@@ -236,7 +236,7 @@
     (void)message;
 }
 
-START_TEST(heartbeats_leave_a_silent_connection)
+START_TEST(heartbeats_replace_stalled_connection)
 {
     server_t *server = new_server();
     addr_t any;
@@ -255,7 +255,7 @@
     envelope.body_case = IRIS__ENVELOPE__BODY_GATEWAY;
     envelope.gateway = &heartbeat;
     const uint64_t start_ms = uv_now(&server->loop);
-    uv_timer_start(&server->guard, on_guard, PATIENCE_MS, 0);
+    uv_timer_start(&server->wait_timer, on_wait_timeout, WAIT_TIMEOUT_MS, 0);
     while (server->bytes[1] == 0 && !server->timed_out) {
         peer_send(hub, &server->addr, &envelope);
         peer_hub_sweep_stalled(hub, STALLED_MS);
@@ -263,13 +263,13 @@
         uv_sleep(1);
     }
     ck_assert_uint_gt(server->bytes[1], 0);
-    ck_assert_uint_lt(uv_now(&server->loop) - start_ms, PATIENCE_MS);
+    ck_assert_uint_lt(uv_now(&server->loop) - start_ms, WAIT_TIMEOUT_MS);
 }
 END_TEST
 
 /* Takes up to `len` bytes from a connection that the loop does not read. */
 static size_t
-take(const server_t *server, size_t len)
+receive_raw(const server_t *server, size_t len)
 {
     static char bytes[16384];
     uv_os_fd_t fd;
@@ -282,10 +282,10 @@
     return n > 0 ? (size_t)n : 0;
 }
 
-START_TEST(a_large_message_that_goes_slowly_is_not_cut_off)
+START_TEST(slow_large_message_is_not_cut_off)
 {
     /* 1.3 s at 800 kB a second: three times the limit on standing still. */
-    enum { MESSAGE = 1000000, PIECE = 8192, PIECE_MS = 10 };
+    enum { MESSAGE_SIZE = 1000000, CHUNK = 8192, CHUNK_INTERVAL_MS = 10 };
     server_t *server = new_server();
     addr_t any;
     err_t err = {0};
@@ -294,31 +294,31 @@
     ck_assert_ptr_nonnull(hub);
     server->silent = 1;
     server->reads = false;
-    char *name = xcalloc(1, MESSAGE + 1);
-    memset(name, 'n', MESSAGE);
+    char *name = xcalloc(1, MESSAGE_SIZE + 1);
+    memset(name, 'n', MESSAGE_SIZE);
     Iris__GatewayHeartbeat heartbeat = IRIS__GATEWAY_HEARTBEAT__INIT;
     heartbeat.instance = name;
     Iris__Envelope envelope = IRIS__ENVELOPE__INIT;
     envelope.body_case = IRIS__ENVELOPE__BODY_GATEWAY;
     envelope.gateway = &heartbeat;
     peer_send(hub, &server->addr, &envelope);
-    size_t taken = 0;
-    uv_timer_start(&server->guard, on_guard, PATIENCE_MS, 0);
-    while (taken < MESSAGE && !server->timed_out) {
+    size_t received = 0;
+    uv_timer_start(&server->wait_timer, on_wait_timeout, WAIT_TIMEOUT_MS, 0);
+    while (received < MESSAGE_SIZE && !server->timed_out) {
         peer_hub_sweep_stalled(hub, STALLED_MS);
         uv_run(&server->loop, UV_RUN_NOWAIT);
-        taken += take(server, PIECE);
-        uv_sleep(PIECE_MS);
+        received += receive_raw(server, CHUNK);
+        uv_sleep(CHUNK_INTERVAL_MS);
     }
-    ck_assert_uint_ge(taken, MESSAGE);
+    ck_assert_uint_ge(received, MESSAGE_SIZE);
     ck_assert_uint_eq(server->accepted, 1);
     free(name);
 }
 END_TEST
 
-START_TEST(a_heartbeat_does_not_wait_behind_a_large_change)
+START_TEST(heartbeat_bypasses_large_view_update)
 {
-    enum { CHANGE = 800000 };
+    enum { UPDATE_SIZE = 800000 };
     server_t *server = new_server();
     addr_t any;
     err_t err = {0};
@@ -331,24 +331,24 @@
     Iris__ViewItem item = IRIS__VIEW_ITEM__INIT;
     Iris__ViewItem *items[] = {&item};
     item.name = "main";
-    item.body.data = xcalloc(1, CHANGE);
-    item.body.len = CHANGE;
+    item.body.data = xcalloc(1, UPDATE_SIZE);
+    item.body.len = UPDATE_SIZE;
     update.items = items;
     update.n_items = ALEN(items);
-    Iris__Envelope change = IRIS__ENVELOPE__INIT;
-    change.body_case = IRIS__ENVELOPE__BODY_VIEW_UPDATE;
-    change.view_update = &update;
-    Iris__GatewayHeartbeat beat = IRIS__GATEWAY_HEARTBEAT__INIT;
-    beat.instance = "p-1";
+    Iris__Envelope update_envelope = IRIS__ENVELOPE__INIT;
+    update_envelope.body_case = IRIS__ENVELOPE__BODY_VIEW_UPDATE;
+    update_envelope.view_update = &update;
+    Iris__GatewayHeartbeat heartbeat_body = IRIS__GATEWAY_HEARTBEAT__INIT;
+    heartbeat_body.instance = "p-1";
     Iris__Envelope heartbeat = IRIS__ENVELOPE__INIT;
     heartbeat.body_case = IRIS__ENVELOPE__BODY_GATEWAY;
-    heartbeat.gateway = &beat;
-    ck_assert(peer_offer(hub, &server->addr, &change));
+    heartbeat.gateway = &heartbeat_body;
+    ck_assert(peer_offer(hub, &server->addr, &update_envelope));
     RUN_UNTIL(server, server->accepted > 0);
     peer_send(hub, &server->addr, &heartbeat);
     RUN_UNTIL(server, server->bytes[1] > 0);
     /* A second change does not queue behind the first. */
-    ck_assert(!peer_offer(hub, &server->addr, &change));
+    ck_assert(!peer_offer(hub, &server->addr, &update_envelope));
     ck_assert_uint_eq(server->accepted, 2);
     free(item.body.data);
 }
@@ -360,13 +360,13 @@
     Suite *suite = suite_create("gateway: silent connections");
     TCase *tcase = tcase_create("silent");
     tcase_set_timeout(tcase, 20);
-    tcase_add_test(tcase, a_call_to_the_store_is_not_lost_to_each_silent_connection);
-    tcase_add_test(tcase, an_attempt_given_up_spares_the_next_a_silent_connection);
-    tcase_add_test(tcase, a_caller_that_leaves_says_nothing_of_the_connections);
-    tcase_add_test(tcase, an_answer_that_has_come_is_read_before_the_call_is_given_up);
-    tcase_add_test(tcase, heartbeats_leave_a_silent_connection);
-    tcase_add_test(tcase, a_large_message_that_goes_slowly_is_not_cut_off);
-    tcase_add_test(tcase, a_heartbeat_does_not_wait_behind_a_large_change);
+    tcase_add_test(tcase, call_after_timeout_uses_new_connection);
+    tcase_add_test(tcase, call_after_give_up_uses_new_connection);
+    tcase_add_test(tcase, cancelled_call_keeps_connections);
+    tcase_add_test(tcase, received_answer_is_read_before_timeout);
+    tcase_add_test(tcase, heartbeats_replace_stalled_connection);
+    tcase_add_test(tcase, slow_large_message_is_not_cut_off);
+    tcase_add_test(tcase, heartbeat_bypasses_large_view_update);
     suite_add_tcase(suite, tcase);
     return suite;
 }
