--- a/gateway/membership/account_exchange.c
+++ b/gateway/membership/account_exchange.c
@@ -1,8 +1,9 @@
 /*
- * What the owners of an account tell each other.
+ * Exchange of sums between the owners of an account.
  *
- * Each owner tells its sums to those that it hears, and in a region where it hears none to one
- * instance after the other until an owner answers: who is not the owner sends the message on, once.
+ * An owner sends its sums to the owners it hears. In a region where it hears none it tries one
+ * instance after another until an owner answers; an instance that is not the owner forwards the
+ * message once.
  */
 #include "gateway/membership/account_sync_internal.h"
 
@@ -13,12 +14,12 @@
 
 enum {
     PEER_EXPIRE_MS =
-        1200, /* an owner heard within this time is told; as long as SILENT_MS of the ledgers */
-    CANDIDATE_TRY_MS = 100,     /* how long one instance of a silent region is tried */
-    SUMS_PER_MESSAGE_MAX = 256, /* sums in one message: 8 kB */
+        1200, /* owners silent for longer get no sums; equals SILENT_MS of the ledgers */
+    CANDIDATE_TRY_MS = 100,     /* time per instance of a region without a known owner */
+    SUMS_PER_MESSAGE_MAX = 256, /* 8 kB */
 };
 
-/* One sum on its way to one instance. */
+/* A sum addressed to one instance. */
 typedef struct {
     addr_t to;
     Iris__AccountSum sum;
@@ -46,7 +47,7 @@
     return addr_order(&((const queued_sum_t *)left)->to, &((const queued_sum_t *)right)->to);
 }
 
-/* Sends the queue, those of a receiver together, and frees them. */
+/* Sends the queue, batching the sums of each receiver, and frees it. */
 static void
 send_queue(account_sync_t *sync, sum_queue_t *queue, const char *place, const char *address,
            bool forwarded)
@@ -57,7 +58,8 @@
     envelope.schema = PEER_SCHEMA;
     envelope.body_case = IRIS__ENVELOPE__BODY_ACCOUNT_EXCHANGE;
     envelope.account_exchange = &message;
-    message.place = (char *)(uintptr_t)place; /* not written to, like the next */
+    message.place =
+        (char *)(uintptr_t)place; /* protobuf-c strings are not const but never written to */
     message.address = (char *)(uintptr_t)address;
     message.forwarded = forwarded;
     message.sums = list;
@@ -95,7 +97,7 @@
     return member != NULL && addr_eq(&member->peer, &sync->conf.own);
 }
 
-/* Whom to try in a region where no owner is heard. */
+/* The instance to try in a region without a known owner. */
 static const member_t *
 pick_candidate(const account_sync_t *sync, const ledger_t *ledger, size_t region, uint64_t now_ms)
 {
@@ -168,7 +170,7 @@
     send_own_queue(sync, &queue);
 }
 
-/* Takes a sum into the ledger; false if the account is not owned here. */
+/* Records a sum in the ledger. Returns false if this instance does not own the account. */
 static bool
 apply_sum(account_sync_t *sync, const Iris__AccountSum *sum, const addr_t *from, size_t region)
 {
@@ -176,7 +178,7 @@
     const config_t *config = sync->conf.catalog->config;
     const config_account_t *account = config != NULL ? config_account(config, sum->account) : NULL;
     if (account == NULL)
-        return true; /* not known here yet: the next one comes soon */
+        return true; /* not configured here yet; the next sum follows soon */
     if (ledgers_find(&sync->ledgers, account->id) == NULL &&
         !is_self(sync, account_exchange_find_owner(sync, account->id)))
         return false;
--- a/gateway/membership/account_grant.c
+++ b/gateway/membership/account_grant.c
@@ -57,9 +57,8 @@
              ledger->user_count);
 }
 
-/* All instances of the region are held from now on, or let go, or have another owner: also those
- * where no caller of the account has come yet, since the first request at each would be one too
- * many. */
+/* Also reaches instances that have not seen the account yet; otherwise each of them could admit one
+ * request too many. */
 static void
 send_grants_to_region(account_sync_t *sync, ledger_t *ledger)
 {
@@ -69,7 +68,6 @@
     }
 }
 
-/* Whoever has started since, or was not reached. */
 void
 account_grant_send_to_nonusers(account_sync_t *sync, ledger_t *ledger)
 {
@@ -80,7 +78,6 @@
     }
 }
 
-/* True if that has changed, and was told. */
 bool
 account_grant_update_limited(account_sync_t *sync, ledger_t *ledger)
 {
@@ -92,7 +89,6 @@
     return changed;
 }
 
-/* Counts one line of a report and fills its answer. */
 void
 account_grant_record_use(account_sync_t *sync, uint64_t source, const Iris__AccountUse *use,
                          Iris__AccountGrant *answer)
--- a/gateway/membership/account_report.c
+++ b/gateway/membership/account_report.c
@@ -7,22 +7,20 @@
 #include "base/xmalloc.h"
 
 enum {
-    /* From the first request that was not reported until its report: a part of the reaction time of
+    /* Delay from the first unreported request to its report; part of the reaction time in
      * policy/account_share.c. */
     REPORT_INTERVAL_MS = 50,
-    /* A report without an answer for so long goes to the next owner, and this one is left alone for
-     * AVOID_MS, until it counts as lost if it is silent. Below OUT_OF_TOUCH_MS of account_uses.c.
-     */
+    /* A report unanswered for this long goes to the next owner, and this one is avoided for
+     * AVOID_MS, by which time a silent instance counts as lost. Less than OUT_OF_TOUCH_MS of
+     * account_uses.c. */
     ANSWER_TIMEOUT_MS = 250,
     AVOID_MS = 2500,
-    /* An instance that has just started does not know who owns what: it reports once the others
-     * have answered its first heartbeat. Chosen; what is let through meanwhile is reported then. */
+    /* An instance that has just started reports only after peers have answered its first heartbeat,
+     * because it does not know the owners before. */
     START_DELAY_MS = 400,
-    USES_PER_MESSAGE_MAX = 256, /* accounts in one message: 8 kB */
+    USES_PER_MESSAGE_MAX = 256, /* 8 kB */
 };
 
-/* An owner that gave no answer, here or to a peer, is left alone for a time. True if it was not
- * before. */
 bool
 account_report_avoid_owner(account_sync_t *sync, uint64_t owner)
 {
@@ -35,8 +33,8 @@
     return newly_avoided;
 }
 
-/* The entry that a grant is for. An account at its limit has one made, so that the instance is held
- * from the account's first request on. */
+/* Finds the entry for a grant. Creates one if the account is limited, so that the limit applies
+ * from the first request. */
 static account_use_t *
 find_or_add_use(account_sync_t *sync, const Iris__AccountGrant *grant)
 {
@@ -86,7 +84,7 @@
         account_report_apply_grant(sync, message->owner, message->grants[i]);
 }
 
-/* ---- what this instance reports ---- */
+/* ---- reports ---- */
 
 typedef struct {
     const member_t *owner;
@@ -101,7 +99,7 @@
     return (a > b) - (a < b);
 }
 
-/* True if the instance gave no answer, though its process may live. */
+/* True if the instance does not answer but its process may still run. */
 static bool
 is_silent(const account_sync_t *sync, uint64_t incarnation)
 {
@@ -140,7 +138,6 @@
     peer_send(sync->conf.hub, &owner->peer, &envelope);
 }
 
-/* Reports to itself. */
 static void
 report_to_self(account_sync_t *sync, const due_report_t *due, size_t count)
 {
@@ -181,8 +178,8 @@
     return use->unanswered_ms != 0 && now_ms - use->unanswered_ms > ANSWER_TIMEOUT_MS;
 }
 
-/* The owner that was reported to is not to take what this instance spends from now on for unseen.
- */
+/* Tells the previous owner that this instance reports elsewhere, so that it does not treat the
+ * instance's further usage as unreported. */
 static void
 release_previous_owner(account_sync_t *sync, const account_use_t *use)
 {
@@ -196,7 +193,7 @@
     send_uses(sync, owner, list, 1);
 }
 
-/* Picks the owner of a use that is to be reported; false if there is none. */
+/* Selects the owner for a due report. Returns false if nothing is due or there is no owner. */
 static bool
 prepare_report(account_sync_t *sync, account_use_t *use, due_report_t *out, uint64_t now_ms)
 {
--- a/gateway/membership/account_sync.c
+++ b/gateway/membership/account_sync.c
@@ -3,8 +3,8 @@
 #include "base/loop_time.h"
 
 enum {
-    LEDGER_INTERVAL_MS = 50,   /* ledgers are looked after: as often as exchanges go out */
-    REVIEW_INTERVAL_MS = 1000, /* and silent instances looked for */
+    LEDGER_INTERVAL_MS = 50, /* equals the interval of exchanges */
+    REVIEW_INTERVAL_MS = 1000,
 };
 
 uint64_t
@@ -32,7 +32,7 @@
     return NULL;
 }
 
-/* ---- regular work ---- */
+/* ---- periodic work ---- */
 
 static source_state_t
 source_state(void *ctx, uint64_t source)
@@ -57,7 +57,7 @@
         uv_timer_stop(&sync->ledger_timer);
 }
 
-/* True if more than half of the known instances of the region are heard. */
+/* True if more than half of the region's known instances are alive. */
 static bool
 is_majority(const account_sync_t *sync)
 {
@@ -73,7 +73,7 @@
     return 2 * alive > known;
 }
 
-/* Another instance owns the account, and all have gone to it: what they spend is counted there. */
+/* True if another instance owns the account and all users report to it. */
 static bool
 is_handed_over(const account_sync_t *sync, const ledger_t *ledger)
 {
@@ -110,7 +110,7 @@
         return;
     member->refuses_connections = true;
     account_report_avoid_owner(sync, member->incarnation);
-    sync->reviewed_ms = 0; /* with the next tick */
+    sync->reviewed_ms = 0; /* review on the next tick */
     for (size_t i = 0; i < sync->conf.uses->count; i++)
         sync->conf.uses->items[i]->due |= sync->conf.uses->items[i]->owner == member->incarnation;
     account_report_schedule(sync);
--- a/gateway/membership/account_sync_internal.h
+++ b/gateway/membership/account_sync_internal.h
@@ -1,9 +1,9 @@
 /*
- * The parts of account sync, and how they call each other. Inside of account_sync.h.
+ * Functions that the account sync files share; private to account_sync.h.
  *
- * account_report.c is an instance's side: what it reports of its use, and what it is told.
- * account_grant.c is the owner's side: reports taken in, and what instances are told.
- * account_exchange.c is between owners. account_sync.c does the regular work.
+ * account_report.c reports this instance's usage and applies grants. account_grant.c is the owner's
+ * side: it records reports and sends grants. account_exchange.c exchanges sums between owners.
+ * account_sync.c runs the timers and the periodic review.
  */
 #pragma once
 
@@ -13,39 +13,40 @@
 /* ---- account_sync.c ---- */
 
 uint64_t account_sync_now(const account_sync_t *sync);
-/* The account in the configuration in force, if it has a limit there; else NULL. */
+/* Returns the account from the current configuration, or NULL if it has no limit there. */
 const config_account_t *account_sync_find_account(const account_sync_t *sync, uint64_t id);
-/* The member of that incarnation; NULL if there is none. */
+/* Returns the member with that incarnation, or NULL. */
 member_t *account_sync_find_member(const account_sync_t *sync, uint64_t incarnation);
-/* This instance may own an account from now on: its ledgers are looked after. */
+/* Starts the ledger timer if this instance has ledgers. */
 void account_sync_start_ledger_timer(account_sync_t *sync);
 
 /* ---- account_report.c ---- */
 
-/* An owner that gave no answer, here or to a peer, is left alone for a time. True if it was not
- * before. */
+/* Passes over an owner that did not answer, here or at a peer, for AVOID_MS. Returns true if it was
+ * not avoided before. */
 bool account_report_avoid_owner(account_sync_t *sync, uint64_t owner);
-/* Takes over what an owner tells of one account. */
+/* Applies an owner's grant for one account. */
 void account_report_apply_grant(account_sync_t *sync, uint64_t owner,
                                 const Iris__AccountGrant *grant);
-/* Something is to be reported; `ctx` is the news. */
+/* Schedules the next report; `ctx` is the account_sync_t. */
 void account_report_schedule(void *ctx);
 
 /* ---- account_grant.c ---- */
 
-/* Counts one line of a report and fills its answer. */
+/* Records one entry of a report and fills its answer. */
 void account_grant_record_use(account_sync_t *sync, uint64_t source, const Iris__AccountUse *use,
                               Iris__AccountGrant *answer);
-/* Decides whether instances are held; true if that has changed, and was told. */
+/* Updates whether the account is limited. Returns true if that changed and was sent to the
+ * region. */
 bool account_grant_update_limited(account_sync_t *sync, ledger_t *ledger);
-/* Tells those that do not use the account, or were not reached, that it is at its limit. */
+/* Sends the limit to instances that do not use the account or were not reached. */
 void account_grant_send_to_nonusers(account_sync_t *sync, ledger_t *ledger);
 
 /* ---- account_exchange.c ---- */
 
-/* Sends what is due to the owners of the other regions. */
+/* Sends the sums that are due to the owners in the other regions. */
 void account_exchange_send(account_sync_t *sync);
-/* Tells the other owners that this one gives the account up: nothing is asked for here any more. */
+/* Tells the other owners that this instance gives up the account and requests no share of it. */
 void account_exchange_send_release(account_sync_t *sync, ledger_t *ledger);
-/* The owner in the own region; NULL if there is none. */
+/* Returns the owner in this region, or NULL. */
 member_t *account_exchange_find_owner(const account_sync_t *sync, uint64_t account);
--- a/gateway/membership/permit_exchange.c
+++ b/gateway/membership/permit_exchange.c
@@ -8,13 +8,13 @@
 #include "gateway/membership/owner.h"
 
 enum {
-    /* Until the next request after one without an answer, or where no owner is known: an owner that
-     * stands still is counted as lost after 1.8 s. */
+    /* Delay before the next request after a timeout, or while no owner is known. A stalled owner
+     * counts as lost after 1.8 s. */
     RETRY_DELAY_MS = 500,
-    /* Requests of one instance for one backend server that wait: others would wait in vain. */
+    /* Pending requests per backend server; further ones would not be answered in time. */
     PENDING_MAX = 8,
-    /* An instance that fell silent may be on the other side of a cut for so long; regions lose each
-     * other for minutes. */
+    /* Instances silent for less than this count as known: they may still run on the other side of a
+     * network partition. */
     MEMBER_EXPIRE_MS = 600000,
 };
 
@@ -40,7 +40,7 @@
     *exchange = (permit_exchange_t){.conf = *conf};
 }
 
-/* ---- the owner ---- */
+/* ---- owner ---- */
 
 static bool
 has_members(const members_t *members, size_t region)
@@ -52,7 +52,7 @@
     return false;
 }
 
-/* The backend's, or the first one that has an instance. */
+/* The backend's region, or the first region with a member if it has none. */
 static size_t
 owner_region(const permit_exchange_t *exchange, size_t region)
 {
@@ -64,8 +64,8 @@
     return exchange->conf.region;
 }
 
-/* Of another region of a large fleet the next one is asked after each that gave no answer: whoever
- * lives there sends the request on. */
+/* In a large fleet, the liveness of other regions is not known: each timeout moves on to the next
+ * candidate, which forwards the request. */
 static const member_t *
 find_owner(const permit_exchange_t *exchange, const backend_t *backend)
 {
@@ -110,7 +110,7 @@
     return named_limit_permits(limit_per_s, heard, known);
 }
 
-/* Gives or refuses a permit as the owner. */
+/* Grants or refuses a permit as the owner. */
 static bool
 take_permit(permit_exchange_t *exchange, const notice_t *notice, uint32_t *wait_ms)
 {
@@ -121,7 +121,7 @@
     return permits_take(&exchange->permits, life, rate, current_ms(exchange), wait_ms);
 }
 
-/* What is known here of the backend that a notice is about; the notice itself if nothing is. */
+/* Returns the stored notice for the backend, or `notice` if there is none. */
 static notice_t
 newest_notice(const permit_exchange_t *exchange, const notice_t *notice)
 {
@@ -163,8 +163,8 @@
     peer_send(exchange->conf.hub, &owner->peer, &envelope);
 }
 
-/* True if another instance is the owner as it seems from here, and got the request. One that is not
- * in the list here yet is taken for one's own. */
+/* Returns true if another instance owns the backend; forwards the request unless it was forwarded
+ * already. Backends that are not in the configuration here yet are treated as owned. */
 static bool
 forward(const permit_exchange_t *exchange, const Iris__PermitRequest *request,
         const notice_t *notice)
@@ -193,7 +193,7 @@
         send_answer(exchange, conn, message, &notice);
 }
 
-/* ---- who asks ---- */
+/* ---- requester ---- */
 
 static notice_t
 make_notice(const backend_t *backend)
@@ -304,7 +304,7 @@
     pending_permit_t *pending = find_pending(exchange, message->number);
     if (pending == NULL)
         return;
-    /* An instance that stood still reads its answers before its timers run. */
+    /* After a stall, answers are read before timers run, so a permit may have expired by now. */
     const bool given =
         message->given && current_ms(exchange) - pending->asked_ms <= (uint64_t)PERMIT_LIFE_MS;
     const permit_cb_t cb = pending->cb;
--- a/gateway/membership/permit_exchange.h
+++ b/gateway/membership/permit_exchange.h
@@ -1,21 +1,21 @@
 /*
- * Permit exchange: instances ask the owner of a backend server that names a limit for a permit, and
- * the owner answers.
+ * Permit exchange: instances request permits for a backend server with a limit from the server's
+ * owner, which grants or refuses them.
  *
- * The owner (owner.h) is an instance of the backend server's region, so that those that send there
- * most are near it. Request and answer carry what each knows of the limit, so that the owner keeps
- * the newest one, and who asks learns that it was lifted. Who is asked and is not the owner sends
- * the request on, once. A request that gets no answer in time is as good as refused.
+ * The owner (owner.h) is an instance in the backend server's region, close to the instances that
+ * send most requests there. Requests and answers carry what the sender knows about the limit, so
+ * that both sides keep the latest value. An instance that is not the owner forwards the request
+ * once. A request without a timely answer counts as refused.
  *
- * Owns the requests that wait for an answer, and the buckets of the backend servers that this
- * instance owns. Relies on policy/named_limit.h for the rate, on peer/link.h.
+ * Owns the pending requests and the buckets of the backend servers that this instance owns. Depends
+ * on policy/named_limit.h for the rate and on peer/link.h.
  */
 #pragma once
 
 #include "gateway/membership/notice_gossip.h"
 #include "gateway/state/permits.h"
 
-/* The answer has come. Not called after permit_cancel(). */
+/* Called with the answer. Not called after permit_cancel(). */
 typedef void (*permit_cb_t)(void *ctx, bool granted);
 
 typedef struct pending_permit pending_permit_t;
@@ -24,24 +24,25 @@
     notice_gossip_conf_t conf;
     permits_t permits;
     pending_permit_t *pending;
-    uint64_t last_number; /* of the last request */
+    uint64_t last_number;
 } permit_exchange_t;
 
 typedef enum {
     PERMIT_GRANTED,
     PERMIT_REFUSED,
-    PERMIT_PENDING, /* the callback tells */
+    PERMIT_PENDING, /* the callback gets the result */
 } permit_result_t;
 
 void permit_exchange_init(permit_exchange_t *exchange, const notice_gossip_conf_t *conf);
-/* A request is about to be sent to that backend. `pending` is set if an answer is to come. */
+/* Requests a permit to send one request to the backend. Sets `pending` if the result is
+ * PERMIT_PENDING. */
 permit_result_t permit_acquire(permit_exchange_t *exchange, backend_t *backend, permit_cb_t cb,
                                void *ctx, pending_permit_t **pending);
-/* The answer is not wanted any more. `late`: it has not come in time, which keeps others from
- * asking for a while. */
+/* Drops a pending request. `late`: it timed out, so further requests for the backend are refused
+ * for a while. */
 void permit_cancel(pending_permit_t *pending, bool late);
 void permit_exchange_on_request(permit_exchange_t *exchange, peer_conn_t *conn,
                                 const Iris__PermitRequest *message);
 void permit_exchange_on_answer(permit_exchange_t *exchange, const Iris__PermitAnswer *message);
-/* Regular work. */
+/* Expires unused buckets; called on every tick. */
 void permit_exchange_tick(permit_exchange_t *exchange);
