--- a/gateway/membership/broadcast.c
+++ b/gateway/membership/broadcast.c
@@ -1,9 +1,9 @@
 #include "gateway/membership/broadcast.h"
 
 enum {
-    REPLICAS = 3,          /* two may be lost, or not be reached */
-    PICKED_MAX = REPLICAS, /* the more of the two */
-    RELAYS_PER_REGION = 2, /* instances of another region that tell theirs */
+    REPLICAS = 3,          /* two may be lost or unreachable */
+    PICKED_MAX = REPLICAS, /* the larger of the two */
+    RELAYS_PER_REGION = 2, /* instances of another region that forward */
 };
 
 static bool
@@ -12,7 +12,7 @@
     return broadcast->members->count <= MEMBERS_FULL_MESH_MAX;
 }
 
-/* Also one that is stopping: it takes requests for two seconds more. */
+/* Includes stopping instances, which still take requests for two seconds. */
 static bool
 is_recipient(const broadcast_t *broadcast, const member_t *member)
 {
@@ -41,7 +41,7 @@
 
 typedef struct {
     uint64_t key;
-    const member_t *member; /* NULL: there is none */
+    const member_t *member; /* NULL: unused */
 } picked_t;
 
 static bool
--- a/gateway/membership/directory.c
+++ b/gateway/membership/directory.c
@@ -8,7 +8,7 @@
            now_ms - member->heard_ms <= member_unlisted_after_ms(member);
 }
 
-/* The instances of a data hall that could be named; returns their number. */
+/* Collects the instances of a data hall that may be listed; returns their number. */
 static size_t
 collect_hall(const members_t *members, str_t hall, uint64_t now_ms,
              naming_instance_t out[MEMBERS_MAX])
@@ -44,7 +44,7 @@
     return copied;
 }
 
-/* All instances of a region, or of all regions. */
+/* Lists all instances of a region, or of all regions. */
 static size_t
 pick_in_region(const members_t *members, size_t region, uint64_t now_ms, addr_t out[DIRECTORY_MAX])
 {
--- a/gateway/membership/discovery.c
+++ b/gateway/membership/discovery.c
@@ -7,12 +7,11 @@
 #include "gateway/state/store_calls.h"
 
 enum {
-    /* An instance that was announced before hears so in this time: a connection and an answer
-     * between regions take 0.15 s, and a busy instance of a tenth of a core as much. Chosen. */
+    /* Time for peers to report an earlier announcement: a connection and an answer between regions,
+     * and a slow peer. */
     START_DELAY_MS = 600,
-    RETRY_MS = 2000, /* until the announcement has worked. Chosen, not measured */
-    RELIST_INTERVAL_MS =
-        10000, /* between the attempts of an instance that hears of no other. Chosen */
+    RETRY_MS = 2000,            /* after a failed call */
+    RELIST_INTERVAL_MS = 10000, /* while no other instance is heard */
 };
 
 void
@@ -54,7 +53,7 @@
     discovery_t *discovery = ctx;
     if (answer->outcome != STORE_OK) {
         LOG_WARN("instances not listed: detail=\"%s\"", answer->err.detail);
-        return; /* the next tick that is due lists again */
+        return; /* the next due tick retries */
     }
     for (size_t i = 0; i < answer->item_count; i++)
         add_instance(discovery, &answer->items[i]);
--- a/gateway/membership/discovery.h
+++ b/gateway/membership/discovery.h
@@ -1,12 +1,12 @@
 /*
- * Discovery: finding the other instances through the store.
+ * Discovery: finds other instances through the store.
  *
- * Each instance announces its address there, unless a peer remembers that it did so in an earlier
- * life at that address. Heartbeats carry the addresses of the others; an instance that hears of
- * none reads them from the store, and looks again from time to time.
+ * Each instance announces its address in the store, unless a peer reports that an earlier process
+ * at that address already did. Heartbeats carry the addresses of other instances; an instance that
+ * hears of none lists them from the store periodically.
  *
- * Owns the calls for it. Relies on the adapter's store port and decoder, on heartbeat.h for what it
- * finds.
+ * Owns these store calls. Depends on the adapter's store port and decoder, and on heartbeat.h,
+ * which takes the addresses found.
  */
 #pragma once
 
@@ -17,16 +17,16 @@
     const store_port_t *store;
     const decoder_port_t *decoder;
     heartbeat_t *heartbeat;
-    str_t instance; /* name of this instance */
-    str_t hall;     /* its data hall */
-    addr_t peer;    /* where its peers reach it */
+    str_t instance; /* own name */
+    str_t hall;     /* own data hall */
+    addr_t peer;    /* own address for peers */
 } discovery_conf_t;
 
 typedef struct {
     discovery_conf_t conf;
-    uint64_t next_at_ms; /* loop time before which the store is not asked */
+    uint64_t next_at_ms; /* earliest loop time of the next store call */
 } discovery_t;
 
 void discovery_init(discovery_t *discovery, const discovery_conf_t *conf);
-/* Regular work; `alone` tells that no other instance is heard. */
+/* Announces or lists if due; `isolated`: no other instance is heard. */
 void discovery_tick(discovery_t *discovery, bool isolated);
--- a/gateway/membership/heartbeat.c
+++ b/gateway/membership/heartbeat.c
@@ -3,11 +3,11 @@
 #include "base/xmalloc.h"
 #include "gateway/membership/heartbeat.h"
 
-/* A heartbeat is sent up to this long before its time, so that ticks of 200 ms do not delay it. */
+/* Heartbeats may be sent this much early, so that ticks of 200 ms do not delay them. */
 enum { SEND_EARLY_MS = 100 };
 
-/* Instances that are logged as heard between two ticks: a fleet of 295 that starts would write 98
- * lines each, and lose others. Chosen. */
+/* Limit of "instance heard" lines per tick, so that the start of a large fleet does not flood the
+ * log. */
 enum { HEARD_LOG_LINES_MAX = 16 };
 
 static size_t
@@ -22,7 +22,7 @@
     return addr_eq(peer, &heartbeat->conf.settings->peer);
 }
 
-/* In a large fleet instances of other regions are heard only now and then. */
+/* In a large fleet, members of other regions send heartbeats only occasionally. */
 static bool
 is_heard_regularly(const heartbeat_t *heartbeat, const member_t *member)
 {
@@ -30,7 +30,7 @@
            member->region == heartbeat->conf.region;
 }
 
-/* Adds the service's demand to what is told; the least one goes if there are too many. */
+/* Adds the service's demand; replaces the smallest one if the list is full. */
 static void
 add_demand(member_t *self, const service_t *service)
 {
@@ -48,7 +48,7 @@
         *least = demand;
 }
 
-/* Keeps the instance's own member up to date. */
+/* Updates this instance's entry in the table of members. */
 static void
 update_self(heartbeat_t *heartbeat, uint64_t now_ms)
 {
@@ -163,7 +163,7 @@
     }
 }
 
-/* Logs the members that count as lost from now on. */
+/* Logs members that have become lost. */
 static void
 log_lost(heartbeat_t *heartbeat, uint64_t now_ms)
 {
@@ -187,9 +187,9 @@
                                                       : HEARTBEAT_PEERS_NON_SEED_MAX;
 }
 
-/* An instance heard anew learns at once who there is and which views there are, so that it need not
- * ask the store. Addresses go to another region only if it has heard of nobody there: to all of a
- * fleet that starts they were 0.1 GB between regions (295 instances, two plays of a day). */
+/* Replies to a new or restarted member with the known addresses and views, so that it need not read
+ * the store. Addresses go to another region only if the member knows nobody there, which bounds the
+ * traffic when a fleet starts. */
 static void
 reply_to_new_member(heartbeat_t *heartbeat, const member_t *member, bool was_announced,
                     uint64_t now_ms)
@@ -217,7 +217,7 @@
     peer_send(heartbeat->conf.hub, &member->peer, &envelope);
 }
 
-/* The store fails this instance from now on, or no longer: who watches it depends on that. */
+/* True if the store has begun or ceased to fail for this instance, which affects who watches it. */
 static bool
 store_status_changed(const heartbeat_t *heartbeat)
 {
@@ -255,7 +255,7 @@
     member->region = region_of(heartbeat, hall);
 }
 
-/* Addresses that cannot be read are left out; other peers send theirs too. */
+/* Skips invalid addresses. */
 static void
 add_addresses(heartbeat_t *heartbeat, const Iris__GatewayHeartbeat *message)
 {
@@ -268,7 +268,7 @@
     }
 }
 
-/* Outcomes at backends that this instance does not know (yet), or at another life, are left out. */
+/* Skips outcomes for backends that are unknown here or have been restarted. */
 static void
 add_outcomes(const backends_t *backends, const Iris__GatewayHeartbeat *message, uint64_t now_ms)
 {
@@ -280,7 +280,7 @@
     }
 }
 
-/* Logs that an instance came back, restarted or leaves. */
+/* Logs that an instance appeared, restarted or is leaving. */
 static void
 log_change(heartbeat_t *heartbeat, const member_t *member, const Iris__GatewayHeartbeat *message,
            uint64_t now_ms)
--- a/gateway/membership/heartbeat.h
+++ b/gateway/membership/heartbeat.h
@@ -1,9 +1,9 @@
 /*
- * Heartbeats between gateway instances: sends this instance's state and receives the others'.
+ * Heartbeats between gateway instances: sends this instance's state and receives that of its peers.
  *
- * Owns the ready and leaving flags that peers get to see, and the pace of the
- * heartbeats. Relies on members.h for who gets one, on heartbeat_message.h for the message, on
- * view_relay.h to compare views, on peer/link.h for the connections.
+ * Owns the ready and leaving flags that peers see, and the schedule of heartbeats. Depends on
+ * members.h for the receivers, on heartbeat_message.h for the message, on view_relay.h to compare
+ * views, and on peer/link.h for the connections.
  */
 #pragma once
 
@@ -17,9 +17,9 @@
 typedef struct {
     const gateway_settings_t *settings;
     members_t *members;
-    const services_t *services; /* their demand is sent */
-    const traffic_t *traffic;   /* is sent */
-    const backends_t *backends; /* outcomes at them are sent and received */
+    const services_t *services; /* whose demand is sent */
+    const traffic_t *traffic;   /* sent with each heartbeat */
+    const backends_t *backends; /* whose outcomes are sent and received */
     size_t region;              /* of this instance */
     const views_t *views;
     const store_watch_t *watch;
@@ -27,43 +27,42 @@
     suspect_gossip_t *suspect_gossip;
     notice_gossip_t *notice_gossip;
     peer_hub_t *hub;
-    uint64_t incarnation; /* random number of this life of the process */
+    uint64_t incarnation; /* random number chosen at process start */
 } heartbeat_conf_t;
 
 typedef struct {
     heartbeat_conf_t conf;
-    unsigned round;   /* heartbeats sent so far */
+    unsigned round;   /* number of heartbeats sent */
     uint64_t sent_ms; /* time of the last one */
     bool ready;
     bool leaving;
-    bool announced;           /* the store has the entry of this instance */
-    bool store_failing;       /* as peers were told last */
-    unsigned replies_sent;    /* sent to instances heard anew */
-    unsigned heard_log_lines; /* that could have been logged since the last tick */
-    bool resumed;             /* it stood still: peers are to tell what it missed */
-    bool is_due;              /* peers are to know at the next tick, whatever the interval */
+    bool announced;           /* this instance's entry is in the store */
+    bool store_failing;       /* as sent in the last heartbeat */
+    unsigned replies_sent;    /* to new or restarted members */
+    unsigned heard_log_lines; /* "instance heard" events since the last tick */
+    bool resumed;             /* the process stalled: peers resend what it missed */
+    bool is_due;              /* send at the next tick, whatever the interval */
 } heartbeat_t;
 
-/* The instance's own member exists afterwards. */
+/* Adds this instance to the table of members. */
 void heartbeat_init(heartbeat_t *heartbeat, const heartbeat_conf_t *conf, uint64_t now_ms);
-/* Sets the ready flag of the next heartbeats; a change is told at once. */
+/* Sets the ready flag; a change makes the next heartbeat due at once. */
 void heartbeat_set_ready(heartbeat_t *heartbeat, bool ready, uint64_t now_ms);
-/* The instance is stopping: sends a heartbeat that says so at once. */
+/* Sends a heartbeat that announces that this instance is stopping. */
 void heartbeat_leave(heartbeat_t *heartbeat, uint64_t now_ms);
-/* Sends a heartbeat to the members whose turn it is. */
+/* Sends a heartbeat to the members that are due in this round. */
 void heartbeat_send(heartbeat_t *heartbeat, uint64_t now_ms);
-/* The instance has stood still for so long that it missed messages: sends a heartbeat that asks for
- * them. */
+/* Sends a heartbeat that asks for messages missed while the process was stalled. */
 void heartbeat_resume(heartbeat_t *heartbeat, uint64_t now_ms);
-/* The next tick sends one, also to members that were not heard, however lately they got one. */
+/* Makes a heartbeat due at the next tick, including to members that were never heard. */
 void heartbeat_retry_unheard(heartbeat_t *heartbeat);
-/* The store has the entry of this instance. */
+/* Records that this instance's entry is in the store. */
 void heartbeat_set_announced(heartbeat_t *heartbeat);
-/* Sends one if the interval has passed, or if there is news that peers wait for. */
+/* Sends a heartbeat if the interval has passed or a change is due. */
 void heartbeat_tick(heartbeat_t *heartbeat, uint64_t now_ms);
 void heartbeat_receive(heartbeat_t *heartbeat, const Iris__GatewayHeartbeat *message,
                        uint64_t now_ms);
-/* There is an instance at that address; it gets heartbeats from now on. `announced`: the store says
- * so. */
+/* Adds the address of an instance, which gets heartbeats from now on. `announced`: its entry is in
+ * the store. */
 void heartbeat_add_address(heartbeat_t *heartbeat, const addr_t *peer, const name_t *hall,
                            bool announced);
--- a/gateway/membership/heartbeat_message.c
+++ b/gateway/membership/heartbeat_message.c
@@ -2,11 +2,10 @@
 
 #include "base/xmalloc.h"
 
-/* Rounds in which a part of the known addresses is sent: two of these many. Chosen, not measured.
- */
+/* Addresses are sent in PEERS_ROUNDS of every PEERS_PERIOD rounds. */
 enum { PEERS_PERIOD = 8, PEERS_ROUNDS = 2 };
 
-/* protobuf-c's strings are not const, though it does not write to them. */
+/* protobuf-c strings are not const but never written to. */
 static char *
 message_text(const name_t *name)
 {
@@ -36,7 +35,7 @@
     demand->slots = (float)slots;
 }
 
-/* The own demand, and for instances of other regions that of the whole own region. */
+/* Sends the own demand, and the region's total for instances of other regions. */
 static void
 fill_demands(heartbeat_message_t *out, const heartbeat_source_t *source)
 {
@@ -56,7 +55,7 @@
     out->message.region_demands = out->region_demand_list;
 }
 
-/* A part of the known instances, another one each time. */
+/* Sends a part of the known addresses, rotating with each round. */
 static void
 fill_peers(heartbeat_message_t *out, const heartbeat_source_t *source)
 {
@@ -81,7 +80,7 @@
     out->message.peers = out->peer_list;
 }
 
-/* Backends at which attempts failed since the last heartbeat, or lately. */
+/* Sends outcomes of backends with recent failures. */
 static void
 fill_outcomes(heartbeat_message_t *out, const heartbeat_source_t *source)
 {
@@ -104,7 +103,7 @@
     out->message.outcomes = out->outcome_list;
 }
 
-/* Suspects, another part of them each time. */
+/* Sends a part of the suspects, rotating with each round. */
 static void
 fill_suspects(heartbeat_message_t *out, const heartbeat_source_t *source)
 {
@@ -190,7 +189,7 @@
            name_set(&out->hall, str_from(message->place));
 }
 
-/* Entries with a name that is not valid are left out: no service can have it. */
+/* Skips entries with an invalid service name. */
 static size_t
 read_demands(Iris__Demand *const *demands, size_t count, member_demand_t *out)
 {
@@ -204,7 +203,7 @@
     return valid_count;
 }
 
-/* A view that the message leaves out, as older versions may, is not known there. */
+/* Views missing from the message, as from older versions, are unknown. */
 static void
 read_views(const Iris__GatewayHeartbeat *message, member_t *member)
 {
--- a/gateway/membership/heartbeat_message.h
+++ b/gateway/membership/heartbeat_message.h
@@ -1,9 +1,9 @@
 /*
- * Heartbeat message: an instance's state as a protobuf message, and back.
+ * Heartbeat message: encodes an instance's state as a protobuf message and decodes it.
  *
- * Owns the buffers that an outgoing message points into. Relies on members.h for what is sent of
- * the instance itself, on views.h and store_watch.h for its views and store, on backends.h for
- * outcomes at backend servers.
+ * Owns the buffers that an outgoing message points into. Depends on members.h for the instance's
+ * own state, on views.h and store_watch.h for views and the store, and on backends.h for outcomes
+ * at backend servers.
  */
 #pragma once
 
@@ -14,14 +14,13 @@
 #include "peer/peer.pb-c.h"
 
 enum {
-    HEARTBEAT_PEERS_MAX = 64, /* addresses in one heartbeat. Chosen, not measured */
-    /* The same in an answer of an instance that is no seed: 97 of a region answer, so that a few of
-     * each are all; 64 of each were 0.2 MB to each instance of a fleet that starts. */
+    HEARTBEAT_PEERS_MAX = 64, /* addresses per heartbeat */
+    /* Addresses in a reply from a non-seed instance; every member of the region sends one. */
     HEARTBEAT_PEERS_NON_SEED_MAX = 16,
-    HEARTBEAT_OUTCOMES_MAX = 64, /* backends in one; bounds its bytes (docs/CAPACITY.md) */
+    HEARTBEAT_OUTCOMES_MAX = 64, /* backends per heartbeat; bounds its size */
 };
 
-/* A message and everything it points to. */
+/* A message and the buffers it points to. */
 typedef struct {
     Iris__GatewayHeartbeat message;
     Iris__ViewState views[VIEW_WATCHED];
@@ -43,7 +42,7 @@
     char own_callers[ADDR_TEXT_MAX];
 } heartbeat_message_t;
 
-/* What an instance sends of itself. */
+/* Input for an outgoing message. */
 typedef struct {
     const member_t *self;
     const members_t *members;
@@ -51,19 +50,19 @@
     const store_watch_t *watch;
     const suspect_gossip_t *suspect_gossip;
     const notice_gossip_t *notice_gossip;
-    bool resumed;               /* this instance stood still and missed messages */
-    const backends_t *backends; /* their unsent outcomes are taken into the message */
-    unsigned round;             /* number of the heartbeat; addresses go into some rounds only */
-    bool is_reply;              /* to an instance heard anew: without outcomes */
-    size_t addresses_max;       /* in an answer: how many at most */
-    bool was_announced;         /* that one said so before */
+    bool resumed;               /* this instance stalled and missed messages */
+    const backends_t *backends; /* their unsent outcomes are moved into the message */
+    unsigned round;             /* number of the heartbeat; only some carry addresses */
+    bool is_reply;              /* to a new or restarted member: without outcomes */
+    size_t addresses_max;       /* limit of addresses in a reply */
+    bool was_announced;         /* the receiver was announced in the store before */
     uint64_t now_ms;
 } heartbeat_source_t;
 
-/* `out` must be zeroed; what `source` points to must outlive the message. */
+/* `out` must be zeroed; `source` and its data must outlive the message. */
 void heartbeat_message_fill(heartbeat_message_t *out, const heartbeat_source_t *source);
 
-/* The identity in a received message, checked. */
+/* Validated identity of a message's sender. */
 typedef struct {
     addr_t peer;
     addr_t callers;
@@ -71,7 +70,7 @@
     name_t hall;
 } heartbeat_sender_t;
 
-/* False if an address or a name is not valid. */
+/* Returns false if an address or a name is invalid. */
 bool heartbeat_message_sender(const Iris__GatewayHeartbeat *message, heartbeat_sender_t *out);
-/* Takes the sender's state over into its member; the identity is left to the caller. */
+/* Copies the sender's state to its member, except the identity. */
 void heartbeat_message_apply(const Iris__GatewayHeartbeat *message, member_t *member);
--- a/gateway/membership/members.c
+++ b/gateway/membership/members.c
@@ -7,18 +7,16 @@
 #include "gateway/membership/members.h"
 
 enum {
-    KEY_SEED = 51, /* any number; the same on every instance */
+    KEY_SEED = 51, /* must be the same on every instance */
     INITIAL_CAPACITY = 16,
-    RETRY_SILENT_MS = 1200, /* how often a silent instance is tried. Chosen: three heartbeats */
-    /* A watch rests for 3 s at most; the rest is for its way (commit 4d7e314). */
+    RETRY_SILENT_MS = 1200, /* interval of retries to a silent member */
+    /* An idle watch answers after at most 3 s; the rest allows for latency. */
     WATCHER_AGE_MAX_MS = 3500,
 };
 
-/* Intervals without a heartbeat after which an instance counts as lost: 1.8 s in a small region.
- * Chosen, not measured. */
+/* Intervals without a heartbeat after which an instance counts as lost: 1.8 s in a small region. */
 #define LOST_INTERVALS 4.5
-/* And after which it is not named to callers any more: 1.3 s in a small region. Chosen, not
- * measured. */
+/* Intervals after which it is no longer listed to callers: 1.3 s in a small region. */
 #define UNLISTED_INTERVALS 3.25
 
 member_t *
@@ -48,7 +46,7 @@
     return member->interval_ms > 0 ? member->interval_ms : HEARTBEAT_MIN_MS;
 }
 
-/* Silence, in milliseconds, after which an instance counts as lost. */
+/* Milliseconds of silence after which an instance counts as lost. */
 static uint64_t
 member_lost_after_ms(const member_t *member)
 {
@@ -102,7 +100,7 @@
     return newest;
 }
 
-/* True if the store answered the living member within that age. */
+/* True if the member is alive and the store answered it within `age_ms`. */
 static bool
 has_recent_answer(const member_t *member, uint32_t age_ms, uint64_t now_ms)
 {
@@ -183,7 +181,7 @@
     return slots;
 }
 
-/* The member of a region that was heard last. */
+/* Returns the member of the region that was heard last, or NULL. */
 static const member_t *
 latest_in_region(const members_t *members, size_t region)
 {
@@ -266,7 +264,7 @@
     return scaled < HEARTBEAT_MAX_MS ? (uint32_t)scaled : HEARTBEAT_MAX_MS;
 }
 
-/* The member's position among the members of its region, and the number of these. */
+/* Returns the member's position in its region and sets `count` to the region's size. */
 static size_t
 index_in_region(const members_t *members, size_t index, size_t *count)
 {
--- a/gateway/membership/members.h
+++ b/gateway/membership/members.h
@@ -1,14 +1,15 @@
 /*
- * Membership: the instances that this one knows, from their heartbeats.
+ * Membership: the instances that this one knows from their heartbeats.
  *
- * No agreement and no leader: each instance judges for itself by silence. Members are kept by the
- * address at which peers reach them; one that fell silent is kept and tried now and then, since a
- * restarted instance comes back at its address.
- * Up to MEMBERS_FULL_MESH_MAX instances all send each other heartbeats. In a larger fleet an
- * instance sends to all of its region and to one of each other region in turn; what a region needs
- * of another, the sum of its demand and its size, is in every heartbeat.
+ * There is no consensus and no leader: each instance detects failures by itself, from missing
+ * heartbeats. Members are keyed by their peer address. A silent member is kept and retried, since a
+ * restarted instance returns at the same address.
  *
- * Owns the table of members. Relies on nothing; time is passed in. Filled by heartbeat.h.
+ * Up to MEMBERS_FULL_MESH_MAX instances form a full mesh. In a larger fleet an instance sends
+ * heartbeats to all members of its region and to MEMBERS_PER_REMOTE_REGION of each other region in
+ * turn; every heartbeat carries the total demand and the size of the sender's region.
+ *
+ * Owns the table of members. Depends on nothing; time is passed in. Filled by heartbeat.h.
  */
 #pragma once
 
@@ -19,76 +20,74 @@
 #include "gateway/state/view_reads.h"
 
 enum {
-    MEMBERS_MAX = 2048, /* above the fleet to design for (1,400 instances) */
-    MEMBERS_FULL_MESH_MAX =
-        16, /* instances that all talk to each other; the small sites have 9 to 12 */
-    /* Members of each other region that get a heartbeat in a round (commit 750a091). */
+    MEMBERS_MAX = 2048,         /* design size: 1,400 instances */
+    MEMBERS_FULL_MESH_MAX = 16, /* largest fleet that forms a full mesh */
+    /* Members of each other region that get a heartbeat per round. */
     MEMBERS_PER_REMOTE_REGION = 1,
-    /* Services in a heartbeat, those with the greatest demand. Chosen: above the users' largest
-     * site. */
+    /* Services in a heartbeat, those with the greatest demand. */
     MEMBER_DEMANDS_MAX = 16,
-    /* Milliseconds between heartbeats: 20 for each member of the region, within these limits. The
-     * slope keeps 1,400 instances near the bound on bytes (docs/CAPACITY.md, commit 750a091). */
+    /* Milliseconds between heartbeats: HEARTBEAT_MS_PER_MEMBER for each member of the region,
+     * within these limits. Bounds the traffic of large fleets. */
     HEARTBEAT_MIN_MS = 400,
     HEARTBEAT_MS_PER_MEMBER = 20,
     HEARTBEAT_MAX_MS = 1200,
-    /* Instances that the store must fail for an outage: those that try first where nobody watches
-     * (policy/store_turns.c). */
+    /* Instances that must find the store failing before it counts as down; as many as retry first
+     * while nobody watches it (policy/store_turns.c). */
     MEMBERS_OUTAGE_QUORUM = 4,
-    STORE_AGE_NONE = 0xffffffff, /* store_age_ms of an instance that does not watch the store */
+    STORE_AGE_NONE = 0xffffffff, /* store_age_ms of an instance that does not watch */
 };
 
-/* Slots of a service that callers keep busy. */
+/* Slots of a service in use by callers. */
 typedef struct {
     name_t service;
     double slots;
 } member_demand_t;
 
-/* What a member holds of one view; see view.h. */
+/* A member's state of one view; see view.h. */
 typedef struct {
     uint64_t at;
     uint64_t digest;
     bool known;
 } member_view_t;
 
-/* What an instance was given and what it carries; 0 where it does not say. */
+/* Configured capacity and current load of an instance; 0 if not reported. */
 typedef struct {
-    double link_bytes_per_s; /* of its link, one direction */
+    double link_bytes_per_s; /* link capacity, one direction */
     double cpu_cores;
     double requests_per_s;
     double bytes_per_s; /* one direction */
 } member_capacity_t;
 
 typedef struct {
-    addr_t peer; /* where its peers reach it */
-    bool heard;  /* at least one heartbeat came; the fields below are unset before */
+    addr_t peer; /* address for peers */
+    bool heard;  /* a heartbeat was received; the fields below are unset before */
     name_t instance;
     name_t hall;
     size_t region;
-    addr_t callers;       /* where its callers reach it */
-    uint64_t incarnation; /* random number of this life of the process */
-    uint64_t heard_ms;    /* time of its last heartbeat; what follows is as of then */
+    addr_t callers;       /* address for callers */
+    uint64_t incarnation; /* random number chosen at process start */
+    uint64_t heard_ms;    /* time of its last heartbeat; the fields below date from it */
     bool ready;
     bool leaving;
-    uint32_t store_age_ms;              /* since the store last answered it, or STORE_AGE_NONE */
-    bool store_failing;                 /* the store fails it */
-    view_reads_t reads;                 /* how it takes changes of views */
-    bool announced;                     /* it says that the store has its entry */
-    bool supports_suspects;             /* it takes messages of suspects */
-    bool supports_accounts;             /* it takes messages of client accounts */
-    bool supports_permits;              /* it takes notices, and gives permits */
-    bool refuses_connections;           /* no process listens there, since it was heard last */
-    uint64_t accounts_avoided_until_ms; /* it left a report of accounts without an answer */
+    uint32_t store_age_ms;    /* since its last answer from the store, or STORE_AGE_NONE */
+    bool store_failing;       /* its requests to the store fail */
+    view_reads_t reads;       /* format of view changes that it accepts */
+    bool announced;           /* its entry is in the store */
+    bool supports_suspects;   /* accepts messages about suspects */
+    bool supports_accounts;   /* accepts messages about client accounts */
+    bool supports_permits;    /* accepts notices and grants permits */
+    bool refuses_connections; /* refused a connection since its last heartbeat */
+    uint64_t accounts_avoided_until_ms; /* did not answer an account report */
     member_view_t views[VIEW_WATCHED];
     member_demand_t demands[MEMBER_DEMANDS_MAX];
     size_t demand_count;
-    member_demand_t region_demands[MEMBER_DEMANDS_MAX]; /* sum over its region */
+    member_demand_t region_demands[MEMBER_DEMANDS_MAX]; /* totals of its region */
     size_t region_demand_count;
     member_capacity_t capacity;
-    uint32_t region_members; /* living members of its region, as it counts them */
-    uint32_t interval_ms;    /* between its heartbeats, 0 if not known */
-    uint64_t sent_ms;        /* time of our last heartbeat to it */
-    bool logged_alive;       /* the log says that it lives */
+    uint32_t region_members; /* alive members of its region, as it reports */
+    uint32_t interval_ms;    /* between its heartbeats, 0 if unknown */
+    uint64_t sent_ms;        /* time of the last heartbeat sent to it */
+    bool logged_alive;       /* logged as alive */
 } member_t;
 
 typedef struct {
@@ -97,53 +96,54 @@
     size_t size;
 } members_t;
 
-/* The member at that address, made if it is new; NULL if there are too many. The table owns what is
- * returned; the next new member may move it. */
+/* Returns the member at the address, added if it is new; NULL if the table is full. Adding a member
+ * may move the others. */
 member_t *members_find_or_add(members_t *members, const addr_t *peer);
 bool member_alive(const member_t *member, uint64_t now_ms);
-/* Number of living members of its region whose name comes before `own`: of those that the store
- * serves, or of all. */
+/* Number of alive members of the region whose name sorts before `own`: all, or if `served` only
+ * those whose store requests succeed. */
 size_t members_rank_in_region(const members_t *members, str_t own, size_t region, bool served,
                               uint64_t now_ms);
-/* Age in milliseconds of a watcher's newest answer from the store up to which its region relies on
- * it: a watch may rest for 3 s, and the age is sent once in a heartbeat. */
+/* Maximum age in milliseconds of a watcher's last answer from the store for its region to rely on
+ * it. Allows for an idle watch of 3 s and the heartbeat interval. */
 uint32_t members_store_age_max_ms(const members_t *members, size_t region, uint64_t now_ms);
-/* True if a living member that sends changes on to the region got an answer from the store within
- * `age_ms`: one of that region, or in a small fleet any. */
+/* True if an alive member that forwards changes to the region got an answer from the store within
+ * `age_ms`: a member of that region, or any member in a full mesh. */
 bool members_watch_store(const members_t *members, size_t region, uint32_t age_ms, uint64_t now_ms);
-/* True if the store is away for all, as far as is known: it answers no living member, and fails
- * MEMBERS_OUTAGE_QUORUM of them, or all if there are fewer. The one named `own` is told by
- * `own_failing`; most instances of a large fleet do not call the store and cannot tell. */
+/* True if the store is down as far as known: it answers no alive member and fails for
+ * MEMBERS_OUTAGE_QUORUM of them, or for all if there are fewer. `own_failing` gives the state of
+ * the member named `own`. Most instances of a large fleet do not call the store and do not count as
+ * failing. */
 bool members_store_is_down(const members_t *members, str_t own, bool own_failing, uint32_t age_ms,
                            uint64_t now_ms);
-/* True if the store fails a living member. */
+/* True if the store fails for an alive member. */
 bool members_store_fails_any(const members_t *members, uint64_t now_ms);
-/* Revision of the newest view of a kind that a living member holds and that is newer than `at` and
- * other than the one of that digest; 0 if there is none. */
+/* Newest revision of a view, above `at` and with another digest, that an alive member holds; 0 if
+ * there is none. */
 uint64_t members_newer_view(const members_t *members, view_kind_t kind, uint64_t at,
                             uint64_t digest, uint64_t now_ms);
-/* True if the store answered a living member, whom it does not fail, within that age. One that has
- * not had an answer for each kind yet does not say that it watches. */
+/* True if the store answered an alive member within `age_ms` and does not fail for it. A member
+ * reports no age until it has had an answer for each kind of view. */
 bool members_store_serves(const members_t *members, uint32_t age_ms, uint64_t now_ms);
-/* Silence, in milliseconds, after which an instance is not named to callers any more. */
+/* Milliseconds of silence after which an instance is not listed in the directory. */
 uint64_t member_unlisted_after_ms(const member_t *member);
-/* Slots of a service that the callers of a region keep busy: for the own region the sum over its
- * living members, for another region what its member heard last says. */
+/* Slots of a service that the callers of a region use: for the own region the sum over alive
+ * members, for another region the total reported by the member heard last. */
 double members_demand(const members_t *members, str_t service, size_t region, size_t own_region,
                       uint64_t now_ms);
-/* Requests a second that the living members of a region carry. */
+/* Requests per second of the region's alive members. */
 double members_requests_per_s(const members_t *members, size_t region, uint64_t now_ms);
-/* Living members of all regions, and of one. */
+/* Number of alive members in all regions, and in one. */
 size_t members_count_alive(const members_t *members, uint64_t now_ms);
 size_t members_count_alive_in_region(const members_t *members, size_t region, uint64_t now_ms);
-/* Instances of all regions: those ever heard of, or more if other regions say so. */
+/* Number of instances in all regions: those ever heard of, or more if other regions report more. */
 size_t members_total(const members_t *members, size_t own_region);
-/* Milliseconds between two heartbeats of an instance of that region. */
+/* Milliseconds between heartbeats of an instance of the region. */
 uint32_t members_interval_ms(const members_t *members, size_t region, uint64_t now_ms);
 /* True if the member gets a heartbeat in this round. */
 bool members_is_target(const members_t *members, size_t index, size_t own_region, unsigned round,
                        uint64_t now_ms);
-/* All members ever heard, as senders to cold backends; returns their number. */
+/* Lists all members ever heard as senders to cold backends; returns their number. */
 size_t members_cold_senders(const members_t *members, cold_sender_t *out, size_t max);
 /* Hash of an instance's name, its key among those senders. */
 uint64_t member_key(str_t instance);
--- a/gateway/membership/message_age.h
+++ b/gateway/membership/message_age.h
@@ -1,13 +1,13 @@
 /*
- * Ages in messages: instances have no clock in common, so times go as how long ago they were.
+ * Ages in messages: instances share no clock, so messages carry times as ages.
  *
- * Pure. The way of the message is left out.
+ * Pure. Network latency is ignored.
  */
 #pragma once
 
 #include <stdint.h>
 
-/* How long ago that loop time was. */
+/* Returns the age of a loop time. */
 uint32_t message_age_ms(uint64_t at_ms, uint64_t now_ms);
-/* The loop time that is so long ago; 1 at the least, since 0 stands for never. */
+/* Returns the loop time of an age; at least 1, because 0 means never. */
 uint64_t message_time_ms(uint32_t age_ms, uint64_t now_ms);
--- a/gateway/membership/notice_gossip.c
+++ b/gateway/membership/notice_gossip.c
@@ -6,7 +6,7 @@
 #include "base/xmalloc.h"
 #include "gateway/membership/notice_message.h"
 
-/* 0.1 MB a second at 50 bytes each. */
+/* 0.1 MB/s at 50 bytes each */
 #define MESSAGES_PER_S 2000.0
 
 void
@@ -16,9 +16,9 @@
     bucket_init(&gossip->messages, MESSAGES_PER_S, MESSAGES_PER_S, loop_now(conf->loop));
 }
 
-/* ---- telling ---- */
+/* ---- sending ---- */
 
-/* One message to several. */
+/* A message that is sent to several instances. */
 typedef struct {
     notice_gossip_t *gossip;
     Iris__BackendNotices *message;
@@ -103,7 +103,7 @@
     free(items);
 }
 
-/* ---- from others ---- */
+/* ---- receiving ---- */
 
 void
 notice_gossip_merge(notice_gossip_t *gossip, Iris__BackendNotice *const *items, size_t count)
--- a/gateway/membership/notice_gossip.h
+++ b/gateway/membership/notice_gossip.h
@@ -1,13 +1,12 @@
 /*
- * Notice news: what instances tell each other of what backend servers told of themselves.
+ * Notice gossip: shares notices of backend servers between instances.
  *
- * A change goes to all at once (broadcast.h), and what is known goes again in heartbeats, a few in
- * turn, for whoever missed it; an instance heard anew gets more of them with the answer to its
- * first heartbeat, before it sends to anybody. Nothing of it goes through the store. Some 40 bytes
- * each.
+ * A change is broadcast at once (broadcast.h). For instances that missed it, heartbeats repeat a
+ * few notices in turn, and the reply to a new or restarted member carries more of them. The store
+ * is not involved. A notice takes about 40 bytes.
  *
- * Owns nothing but the bound on messages. Relies on members.h for recipients there is, on the
- * catalog for the notices, on peer/link.h.
+ * Owns the rate limit of messages. Depends on members.h, on the catalog for the notices, and on
+ * peer/link.h.
  */
 #pragma once
 
@@ -18,37 +17,36 @@
 #include "peer/link.h"
 
 enum {
-    /* In one heartbeat: 24 limited backend servers are told in 1.2 s. */
+    /* Notices per heartbeat: 24 limited backend servers are sent within 1.2 s. */
     NOTICES_PER_HEARTBEAT = 8,
-    /* The same in a fleet of more than MEMBERS_FULL_MESH_MAX instances, which hear as many each
-       second. */
+    /* The same for fleets without a full mesh, where an instance receives more heartbeats. */
     NOTICES_PER_HEARTBEAT_LARGE = 1,
     NOTICES_PER_REPLY = 64,
 };
 
-/* Of what instances tell each other of backend servers; also of permits. */
+/* Configuration of notice gossip, also used by the permit exchange. */
 typedef struct {
     uv_loop_t *loop;
     members_t *members;
     catalog_t *catalog;
     peer_hub_t *hub;
-    addr_t own; /* where peers reach this instance */
+    addr_t own; /* address for peers */
     size_t region;
 } notice_gossip_conf_t;
 
 typedef struct {
     notice_gossip_conf_t conf;
-    bucket_t messages; /* that may be sent */
+    bucket_t messages; /* rate limit of sent messages */
 } notice_gossip_t;
 
 void notice_gossip_init(notice_gossip_t *gossip, const notice_gossip_conf_t *conf);
-/* Tells what is untold; `ctx` is the notice_gossip_t. What exceeds the bound on messages waits for
- * the next call. */
+/* Broadcasts unsent notices; `ctx` is the notice_gossip_t. Above the rate limit they wait for the
+ * next call. */
 void notice_gossip_send_unsent(void *ctx);
-/* Takes in what a peer tells. */
+/* Merges notices from a peer, and forwards them if it is a relay. */
 void notice_gossip_receive(notice_gossip_t *gossip, const Iris__BackendNotices *message);
-/* The same, from a heartbeat. */
+/* Merges notices from a heartbeat. */
 void notice_gossip_merge(notice_gossip_t *gossip, Iris__BackendNotice *const *items, size_t count);
-/* Fills messages with up to `max` notices, another part for each `round`; returns their number. */
+/* Fills up to `max` messages with notices, rotating with `round`; returns their number. */
 size_t notice_gossip_fill(const notice_gossip_t *gossip, Iris__BackendNotice *out, size_t max,
                           unsigned round);
--- a/gateway/membership/notice_message.c
+++ b/gateway/membership/notice_message.c
@@ -7,7 +7,7 @@
 notice_message_fill(Iris__BackendNotice *out, const notice_t *notice, uint64_t now_ms)
 {
     iris__backend_notice__init(out);
-    /* protobuf-c's strings are not const, though it does not write to them. */
+    /* protobuf-c strings are not const but never written to. */
     out->backend = (char *)(uintptr_t)notice->backend.ptr;
     out->born = notice->born;
     out->tells_limit = notice->limit.said_ms > 0;
--- a/gateway/membership/notice_message.h
+++ b/gateway/membership/notice_message.h
@@ -1,8 +1,8 @@
 /*
- * Notice message: what backend servers told of themselves as protobuf messages, and back. Times go
- * as ages.
+ * Notice message: encodes notices of backend servers as protobuf messages and decodes them. Times
+ * are sent as ages.
  *
- * Owns nothing: an outgoing message points into the notice. Relies on state/notices.h.
+ * Owns nothing: an outgoing message points into the notice. Depends on state/notices.h.
  */
 #pragma once
 
@@ -10,5 +10,5 @@
 #include "peer/peer.pb-c.h"
 
 void notice_message_fill(Iris__BackendNotice *out, const notice_t *notice, uint64_t now_ms);
-/* In this instance's loop time. False if no backend server can have that name. */
+/* Converts ages to loop time. Returns false if the backend server's name is invalid. */
 bool notice_message_read(const Iris__BackendNotice *message, notice_t *out, uint64_t now_ms);
--- a/gateway/membership/owner.c
+++ b/gateway/membership/owner.c
@@ -2,10 +2,10 @@
 
 #include <math.h>
 
-/* Instances of the own region that are asked one after the other; see the header. */
+/* Members tried one after the other where liveness is known. */
 enum { FALLBACKS_MAX = 3 };
 
-/* Cores of an instance that does not tell. Chosen: of the smallest ones of the users' sites. */
+/* Cores of an instance that reports none. */
 #define CORES_DEFAULT 0.1
 
 typedef struct {
@@ -33,7 +33,7 @@
     return cores / -log(((double)(hash >> 11) + 0.5) * 0x1.0p-53);
 }
 
-/* The best ones, in order; returns their number. */
+/* Ranks the best members by score; returns their number. */
 static size_t
 rank(const owner_input_t *input, ranked_t *best)
 {
--- a/gateway/membership/owner.h
+++ b/gateway/membership/owner.h
@@ -1,26 +1,24 @@
 /*
- * Owner: which instance of a region keeps the count of something that all instances share: the
- * ledger of a client account, or the permits of a backend server that names a limit.
+ * Owner: the instance of a region that keeps a count shared by all instances: the ledger of a
+ * client account, or the permits of a backend server with a limit.
  *
- * Decides: one member, by weighted rendezvous hashing of its name and the key, by cores, so that
- * large instances own more. All instances of a region choose alike from the same list; one whose
- * list differs for a moment turns to another owner, which the owners make up for
- * (state/account_ledgers.h, policy/named_limit.h).
- * Where heartbeats tell who lives, those count that live and do not stop. One that gave no answer
- * is passed over for the next, twice: an instance that hears answers of three others too late is
- * itself slow, and must not take an account to itself. Of another region of a large fleet any
- * counts that was ever heard, since its instances are heard too seldom to be judged: whoever gets a
- * message that is not for it sends it on.
+ * Decides: one member, by rendezvous hashing of its name and the key, weighted by cores. All
+ * instances of a region with the same member table choose the same owner; a short disagreement is
+ * handled by the owners (state/account_ledgers.h, policy/named_limit.h). Where liveness is known,
+ * only alive members that are not leaving qualify. A member that does not answer is passed over at
+ * most twice: an instance that misses the answers of three others is itself slow and must not
+ * become the owner. In another region of a large fleet any member ever heard qualifies, since its
+ * heartbeats are too rare to tell; the receiver forwards the message.
  *
- * Owns nothing. Relies on members.h; time is passed in.
+ * Owns nothing. Depends on members.h; time is passed in.
  */
 #pragma once
 
 #include "gateway/membership/members.h"
 
-enum { OWNER_RANKS = 8 }; /* that can be asked for; chosen */
+enum { OWNER_RANKS = 8 }; /* limit of owner_input_t.rank */
 
-/* What is owned: older instances own none of the later kinds. */
+/* Kinds of ownership. Instances of older versions do not support the later ones. */
 typedef enum {
     OWNER_OF_ACCOUNT,
     OWNER_OF_BACKEND,
@@ -29,12 +27,12 @@
 typedef struct {
     const members_t *members;
     owner_kind_t kind;
-    uint64_t key; /* of what is owned */
+    uint64_t key; /* key of the owned entity */
     size_t region;
-    bool liveness_known; /* heartbeats tell who lives there */
-    size_t rank; /* where they do not: 0 the owner, above who comes after that many others */
+    bool liveness_known; /* heartbeats of the region are frequent enough to tell */
+    size_t rank;         /* if liveness is unknown: 0 is the owner, n the n-th fallback */
     uint64_t now_ms;
 } owner_input_t;
 
-/* NULL if there are not so many. The table owns what is returned; a new member may move it. */
+/* Returns NULL if there is no such member. Adding a member may move the result. */
 member_t *owner_find(const owner_input_t *input);
--- a/gateway/membership/suspect_gossip.c
+++ b/gateway/membership/suspect_gossip.c
@@ -7,7 +7,7 @@
 #include "gateway/membership/broadcast.h"
 
 enum {
-    MESSAGES_PER_S = 2048, /* 100 bytes each are 2 Mbit/s; what exceeds it waits */
+    MESSAGES_PER_S = 2048, /* 2 Mbit/s at 100 bytes each; excess messages wait */
     MS_PER_S = 1000,
 };
 
@@ -29,15 +29,15 @@
     return member->supports_suspects;
 }
 
-/* ---- whom ---- */
+/* ---- receivers ---- */
 
 typedef enum {
-    SEND_TO_REPLICAS, /* of the own region */
+    SEND_TO_REPLICAS, /* in the own region */
     SEND_TO_REGION,
-    SEND_TO_ALL, /* the own region, and through relays the others */
+    SEND_TO_ALL, /* the own region, and the others through relays */
 } recipients_t;
 
-/* One message to several. */
+/* A message that is sent to several instances. */
 typedef struct {
     suspect_gossip_t *gossip;
     Iris__Suspects *message;
@@ -82,11 +82,10 @@
     }
 }
 
-/* ---- what ---- */
+/* ---- sending ---- */
 
-/* True if all are to know of it: it is held, or all were told that it was. A family goes with its
- * first member: the next one comes from another address, anywhere, and would end as many in each
- * region (up to nine instead of three, in soaks of 24 instances in three regions). */
+/* True if all instances must know it: it is quarantined, or was sent to all before. A family is
+ * sent to all from its first member, because the next one may reach any region. */
 static bool
 is_for_all(const suspect_t *suspect)
 {
@@ -103,7 +102,8 @@
     return false;
 }
 
-/* Sends the untold suspects that are for those, in one message, or in one for each. */
+/* Sends the unsent suspects selected by `for_all`, in one message or, to replicas, one message
+ * each. */
 static void
 send_unsent(suspect_gossip_t *gossip, recipients_t recipients, bool for_all)
 {
@@ -155,9 +155,10 @@
     send_unsent(gossip, is_full_mesh(gossip) ? SEND_TO_ALL : SEND_TO_REPLICAS, false);
 }
 
-/* ---- from others ---- */
+/* ---- receiving ---- */
 
-/* Returns true if it is to be told on: the keepers of a request learn first that it is held. */
+/* Returns true if the suspect became quarantined by the merge and must be sent on: the replicas of
+ * a request learn that first. */
 static bool
 merge_one(suspect_gossip_t *gossip, const Iris__Suspect *message)
 {
@@ -187,7 +188,7 @@
         suspect_gossip_send_unsent(gossip);
 }
 
-/* What came from another region is told to the own one as it is. */
+/* Forwards an update from another region to the own region. */
 static void
 relay(suspect_gossip_t *gossip, const Iris__Suspects *message)
 {
--- a/gateway/membership/suspect_message.c
+++ b/gateway/membership/suspect_message.c
@@ -31,7 +31,7 @@
         out->message.good_age_ms = message_age_ms(suspect->good_ms, now_ms);
     if (suspect->trial_until_ms > now_ms)
         out->message.trial_left_ms = (uint32_t)(suspect->trial_until_ms - now_ms);
-    out->message.text = (char *)(uintptr_t)suspect->text; /* not written to */
+    out->message.text = (char *)(uintptr_t)suspect->text; /* never written to */
 }
 
 void
--- a/gateway/membership/topology.h
+++ b/gateway/membership/topology.h
@@ -1,8 +1,8 @@
 /*
- * Topology: which data hall lies in which region.
+ * Topology: the region of each data hall.
  *
- * Owns the two lists, filled from the settings and unchanged afterwards. Regions are named by their
- * index. Relies on nothing.
+ * Owns both lists, which are filled from the settings and do not change afterwards. Regions are
+ * identified by their index. Depends on nothing.
  */
 #pragma once
 
@@ -11,9 +11,9 @@
 #include "base/str.h"
 
 enum {
-    TOPOLOGY_HALLS_MAX = 256,                  /* above the size to design for (54 data halls) */
-    TOPOLOGY_REGIONS_MAX = 64,                 /* above the size to design for (26 regions) */
-    TOPOLOGY_NO_REGION = TOPOLOGY_REGIONS_MAX, /* index of data halls without a region */
+    TOPOLOGY_HALLS_MAX = 256,                  /* design size: 54 data halls */
+    TOPOLOGY_REGIONS_MAX = 64,                 /* design size: 26 regions */
+    TOPOLOGY_NO_REGION = TOPOLOGY_REGIONS_MAX, /* index for data halls without a region */
 };
 
 typedef struct {
@@ -28,9 +28,9 @@
     size_t region_count;
 } topology_t;
 
-/* False if a name is not valid or there are too many. */
+/* Returns false if a name is invalid or a list is full. */
 bool topology_add(topology_t *topology, str_t hall, str_t region);
-/* Region of a data hall; TOPOLOGY_NO_REGION if it is not known. */
+/* Returns the region of a data hall, or TOPOLOGY_NO_REGION if it is unknown. */
 size_t topology_region_of(const topology_t *topology, str_t hall);
-/* Index of a region by its name; TOPOLOGY_NO_REGION if it is not known. */
+/* Returns the index of a region by name, or TOPOLOGY_NO_REGION if it is unknown. */
 size_t topology_region(const topology_t *topology, str_t region);
