--- a/gateway/membership/account_report.c
+++ b/gateway/membership/account_report.c
@@ -199,7 +199,7 @@
 {
     if (is_unanswered(use, now_ms)) {
         if (account_report_avoid_owner(sync, use->owner))
-            LOG_INFO("owner of an account gives no answer: account=%s after_ms=%llu", use->name.ptr,
+            LOG_INFO("account owner does not answer: account=%s after_ms=%llu", use->name.ptr,
                      (unsigned long long)(now_ms - use->unanswered_ms));
     } else if (!account_use_is_due(use, now_ms))
         return false;
--- a/gateway/membership/discovery.c
+++ b/gateway/membership/discovery.c
@@ -43,8 +43,8 @@
     if (discovery->conf.decoder->instance(item->body, &peer, &hall, &err))
         heartbeat_add_address(discovery->conf.heartbeat, &peer, &hall, true);
     else
-        LOG_WARN("instance entry not usable: instance=%.*s err=%s detail=\"%s\"",
-                 STR_ARG(item->name), err_name(err.code), err.detail);
+        LOG_WARN("invalid instance entry: instance=%.*s err=%s detail=\"%s\"", STR_ARG(item->name),
+                 err_name(err.code), err.detail);
 }
 
 static void
@@ -52,7 +52,7 @@
 {
     discovery_t *discovery = ctx;
     if (answer->outcome != STORE_OK) {
-        LOG_WARN("instances not listed: detail=\"%s\"", answer->err.detail);
+        LOG_WARN("failed to list instances: detail=\"%s\"", answer->err.detail);
         return; /* the next due tick retries */
     }
     for (size_t i = 0; i < answer->item_count; i++)
@@ -70,7 +70,7 @@
 {
     discovery_t *discovery = ctx;
     if (answer->outcome != STORE_OK && answer->outcome != STORE_CONFLICT) {
-        LOG_WARN("not announced in the store: detail=\"%s\"", answer->err.detail);
+        LOG_WARN("failed to announce in the store: detail=\"%s\"", answer->err.detail);
         return;
     }
     heartbeat_set_announced(discovery->conf.heartbeat);
--- a/gateway/membership/heartbeat.c
+++ b/gateway/membership/heartbeat.c
@@ -231,7 +231,7 @@
         members_interval_ms(heartbeat->conf.members, heartbeat->conf.region, now_ms);
     log_lost(heartbeat, now_ms);
     if (heartbeat->heard_log_lines > HEARD_LOG_LINES_MAX)
-        LOG_INFO("more instances heard at once than lines: heard=%u lines=%d",
+        LOG_INFO("too many instances heard, lines omitted: heard=%u lines=%d",
                  heartbeat->heard_log_lines, HEARD_LOG_LINES_MAX);
     heartbeat->heard_log_lines = 0;
     heartbeat->is_due |= store_status_changed(heartbeat);
@@ -301,7 +301,7 @@
 {
     heartbeat_sender_t sender;
     if (!heartbeat_message_sender(message, &sender)) {
-        LOG_WARN("heartbeat not usable: instance=%s", message->instance);
+        LOG_WARN("invalid heartbeat: instance=%s", message->instance);
         return;
     }
     add_addresses(heartbeat, message);
--- a/gateway/membership/members.c
+++ b/gateway/membership/members.c
@@ -27,7 +27,7 @@
             return &members->items[i];
     }
     if (members->count == MEMBERS_MAX) {
-        LOG_WARN("instance not kept: members=%zu", members->count);
+        LOG_WARN("member table is full: members=%zu", members->count);
         return NULL;
     }
     if (members->count == members->size) {
