--- a/test/gateway/test_members.c
+++ b/test/gateway/test_members.c
@@ -1,4 +1,4 @@
-/* Membership, who watches the store, the directory. */
+/* Membership, store watchers, the directory and the heartbeat's demands. */
 #include <stdio.h>
 
 #include "base/xmalloc.h"
@@ -56,7 +56,7 @@
         snprintf(name, sizeof(name), "g-%u", i);
         member_t *member = add_member(&members, name, "a1", i % 2, (uint16_t)(i + 1));
         member->region_members = REGION_SIZE;
-        member->heard = i % 2 == 0 || i < 4; /* few of the other region have been heard */
+        member->heard = i % 2 == 0 || i < 4; /* few of the remote region have been heard */
     }
     ck_assert_uint_eq(members_total(&members, 0), 2 * REGION_SIZE);
     ck_assert_uint_eq(members_interval_ms(&members, 0, 10100),
@@ -79,7 +79,7 @@
 }
 END_TEST
 
-/* More services than a heartbeat holds: the ones with the greatest demand are told. */
+/* With more services than a heartbeat holds, those with the greatest demand are sent. */
 START_TEST(heartbeat_carries_greatest_demands)
 {
     enum { SERVICES = 4 * MEMBER_DEMANDS_MAX, BUSY_FROM = SERVICES - 3 };
@@ -128,7 +128,7 @@
 
 START_TEST(each_region_has_two_store_watchers)
 {
-    /* Turned away in silence, a watcher is not known to be for seconds: another watches too. */
+    /* A watcher whose requests go unanswered is not detected for seconds, so two watch. */
     members_t members = {0};
     add_member(&members, "a-1", "a1", 0, 1);
     add_member(&members, "a-2", "a1", 0, 2);
@@ -144,8 +144,8 @@
 
 START_TEST(long_heartbeat_interval_does_not_fail_store_check)
 {
-    /* In a large region heartbeats come every 1.2 s: what the watcher tells is older when read.
-     * Else all instances of the region watch the store, and each sends on what it learns. */
+    /* With heartbeats every 1.2 s a watcher's reported store age is older when read. It must still
+     * count as valid, or every instance of the region would watch the store. */
     enum { REGION_SIZE = 100 };
     members_t members = {0};
     member_t *watcher = add_member(&members, "g-0", "a1", 0, 1);
@@ -172,10 +172,10 @@
     add_member(&members, "a-3", "a1", 0, 3);
     members.items[0].store_failing = true;
     ck_assert_uint_eq(members_rank_in_region(&members, STR("a-1"), 0, true, 10500),
-                      0); /* goes on trying */
+                      0); /* keeps trying */
     ck_assert_uint_eq(members_rank_in_region(&members, STR("a-2"), 0, true, 10500), 0);
     ck_assert_uint_eq(members_rank_in_region(&members, STR("a-3"), 0, true, 10500), 1);
-    /* Turned away is not down: others are served. */
+    /* The store is not down while it serves other instances. */
     ck_assert(!members_store_is_down(&members, STR("a-1"), true, 3500, 10500));
     members.items[1].store_failing = true;
     members.items[2].store_failing = true;
@@ -221,21 +221,21 @@
 START_TEST(naming_picks_fewest_instances_for_traffic)
 {
     naming_instance_t instances[8];
-    /* Two strong and six weak ones, 400 requests and 8 MB a second together. */
+    /* Two large and six small instances, 400 requests/s and 8 MB/s in total. */
     for (uint64_t i = 0; i < ALEN(instances); i++)
         instances[i] = make_instance(i, i >= 6 ? 200 : 10, i >= 6 ? 0.5 : 0.1, 50, 1e6);
     ck_assert_uint_eq(naming_decide(instances, ALEN(instances)), 2);
     ck_assert_uint_eq(instances[0].key, 6);
     ck_assert_uint_eq(instances[1].key, 7);
-    /* The strong ones cannot carry 24 MB/s, nor can all in equal parts. */
+    /* Two large instances cannot carry 24 MB/s, nor can all at equal shares. */
     for (size_t i = 0; i < ALEN(instances); i++)
         instances[i].bytes_per_s = 3e6;
     ck_assert_uint_eq(naming_decide(instances, ALEN(instances)), 8);
-    /* Equal ones of 10 Mbit/s: 1.25 MB/s go to three, at 0.33 of their links. */
+    /* Equal instances of 10 Mbit/s: 1.25 MB/s needs three, at a third of their links. */
     for (uint64_t i = 0; i < ALEN(instances); i++)
         instances[i] = make_instance(i, 10, 0.5, 10, 156250);
     ck_assert_uint_eq(naming_decide(instances, ALEN(instances)), 3);
-    /* Requests that cost processor time count as well: 800 a second at 0.2 ms on 0.1 cores. */
+    /* CPU time counts too: 800 requests/s at 0.2 ms each on 0.1 cores. */
     for (uint64_t i = 0; i < ALEN(instances); i++)
         instances[i] = make_instance(i, 1000, 0.1, 100, 0);
     ck_assert_uint_eq(naming_decide(instances, ALEN(instances)), 4);
@@ -251,7 +251,7 @@
     for (uint64_t i = 0; i < ALEN(instances); i++)
         instances[i] = make_instance(i, 10, 0.5, 0, 0);
     ck_assert_uint_eq(naming_decide(instances, ALEN(instances)), 4);
-    /* One that does not say, as before an upgrade: all are named. */
+    /* If one does not report its capacity, as before an upgrade, all are listed. */
     instances[3].link_bytes_per_s = 0;
     ck_assert_uint_eq(naming_decide(instances, ALEN(instances)), 8);
     ck_assert_uint_eq(naming_decide(instances, 1), 1);
--- a/test/gateway/test_peers.c
+++ b/test/gateway/test_peers.c
@@ -1,4 +1,4 @@
-/* Several gateways: what they learn from each other. */
+/* Exchange of state between several gateways. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "test/suites.h"
 #include "wire/fetch.h"
 
-/* A store that turns everybody away. */
+/* Starts a store that refuses every request. */
 static store_port_t
 refusing_store(site_t *site)
 {
@@ -32,7 +32,7 @@
 }
 END_TEST
 
-/* Found on the users' bench: with 80 instances each alone sees too little of a slow backend. */
+/* With many instances, each alone sees too few requests to detect a slow backend. */
 START_TEST(instances_share_failing_backends)
 {
     enum { FAILURES = 12 };
@@ -57,7 +57,7 @@
 
 START_TEST(outdated_instances_do_not_block_each_other)
 {
-    /* Three instances; the change comes by a list, which is not sent on, and two have to ask. */
+    /* The change arrives by a list, which is not forwarded, so two instances must fetch it. */
     site_t *site = new_ready_site(1);
     const store_port_t port = refusing_store(site);
     const addr_t *seed = &gateway_settings(site->gateway)->peer;
@@ -86,7 +86,7 @@
 
 START_TEST(large_configuration_is_fetched_from_peer)
 {
-    /* Above what is sent between regions unasked. */
+    /* Exceeds the size that is pushed between regions. */
     site_t *site = new_ready_site(1);
     const store_port_t port = refusing_store(site);
     gateway_t *second = start_gateway(site, "g-2", &port, &gateway_settings(site->gateway)->peer);
@@ -127,7 +127,7 @@
 
 START_TEST(failed_instance_list_is_retried)
 {
-    /* No seeds: the instances find each other by the store alone. */
+    /* Without seeds the instances find each other only through the store. */
     site_t *site = new_ready_site(1);
     standin_store_refuse_lists(site->store, "irisstall-instances", 2);
     use_gateway(site, start_gateway(site, "g-2", &site->store_port, NULL));
--- a/test/gateway/test_silent.c
+++ b/test/gateway/test_silent.c
@@ -1,5 +1,5 @@
-/* Connections that have gone silent without a reset, while new ones work: between instances, to the
- * store and to backend servers. */
+/* Established connections that go silent without a reset while new ones work: between instances,
+ * to the store and to backend servers. */
 #include <errno.h>
 #include <stdlib.h>
 #include <string.h>
@@ -18,7 +18,7 @@
     SMALL_BUFFER = 4096,
 };
 
-/* A server whose connections fall silent on demand: it takes what they send and never answers. */
+/* A server whose connections go silent on demand: it reads requests and never answers. */
 typedef struct {
     uv_loop_t loop;
     uv_timer_t wait_timer;
@@ -26,10 +26,10 @@
     uv_tcp_t listener;
     addr_t addr;
     uv_tcp_t conns[CONNECTIONS_MAX];
-    size_t bytes[CONNECTIONS_MAX]; /* received on each */
+    size_t bytes[CONNECTIONS_MAX]; /* received per connection */
     size_t accepted;
-    size_t silent; /* so many of the first connections are silent */
-    bool reads;    /* false: new connections are not even read */
+    size_t silent; /* number of first connections that are silent */
+    bool reads;    /* false: silent connections are not read */
 } server_t;
 
 static void
@@ -154,7 +154,7 @@
     return wire_call_start(pool, &conf, &cbs, reply);
 }
 
-/* A pool with three kept connections, all of them silent from now on. */
+/* Returns a pool with three idle connections, all silent from now on. */
 static wire_pool_t *
 new_silent_pool(server_t *server)
 {
@@ -211,10 +211,10 @@
 }
 END_TEST
 
-/* The loop was held up beyond the call's time; the answer lies in the socket. */
+/* The loop stalled beyond the call's timeout while the answer was in the socket buffer. */
 START_TEST(received_answer_is_read_before_timeout)
 {
-    enum { LONG_TIMEOUT_MS = 1500 }; /* the request is sent within it, also on a busy machine */
+    enum { LONG_TIMEOUT_MS = 1500 }; /* long enough to send the request on a busy machine */
     server_t *server = new_server();
     wire_pool_t *pool = wire_pool_new(&server->loop, &server->addr, CONNECTIONS_MAX);
     reply_t reply;
@@ -267,7 +267,7 @@
 }
 END_TEST
 
-/* Takes up to `len` bytes from a connection that the loop does not read. */
+/* Receives up to `len` bytes from a connection that the loop does not read. */
 static size_t
 receive_raw(const server_t *server, size_t len)
 {
@@ -284,7 +284,7 @@
 
 START_TEST(slow_large_message_is_not_cut_off)
 {
-    /* 1.3 s at 800 kB a second: three times the limit on standing still. */
+    /* Takes 1.3 s at 800 kB/s, three times the limit for a stalled connection. */
     enum { MESSAGE_SIZE = 1000000, CHUNK = 8192, CHUNK_INTERVAL_MS = 10 };
     server_t *server = new_server();
     addr_t any;
@@ -347,7 +347,7 @@
     RUN_UNTIL(server, server->accepted > 0);
     peer_send(hub, &server->addr, &heartbeat);
     RUN_UNTIL(server, server->bytes[1] > 0);
-    /* A second change does not queue behind the first. */
+    /* A second update does not queue behind the first. */
     ck_assert(!peer_offer(hub, &server->addr, &update_envelope));
     ck_assert_uint_eq(server->accepted, 2);
     free(item.body.data);
