--- a/gateway/membership/heartbeat_message.c
+++ b/gateway/membership/heartbeat_message.c
@@ -235,7 +235,7 @@
     member->leaving = message->leaving;
     member->store_age_ms = message->store_age_ms;
     member->store_failing = message->store_failing;
-    member->reads = read_view_format(message);
+    member->view_format = read_view_format(message);
     member->announced = message->announced;
     member->supports_suspects = message->reads_suspects;
     member->supports_accounts = message->reads_accounts;
--- a/gateway/membership/members.h
+++ b/gateway/membership/members.h
@@ -71,7 +71,7 @@
     bool leaving;
     uint32_t store_age_ms;    /* since its last answer from the store, or STORE_AGE_NONE */
     bool store_failing;       /* its requests to the store fail */
-    view_reads_t reads;       /* format of view changes that it accepts */
+    view_reads_t view_format; /* format of view changes that it accepts */
     bool announced;           /* its entry is in the store */
     bool supports_suspects;   /* accepts messages about suspects */
     bool supports_accounts;   /* accepts messages about client accounts */
--- a/gateway/membership/permit_exchange.c
+++ b/gateway/membership/permit_exchange.c
@@ -22,7 +22,7 @@
     pending_permit_t *next;
     permit_exchange_t *exchange;
     uint64_t number;
-    uint64_t asked_ms;
+    uint64_t requested_ms;
     backend_t *backend; /* a reference */
     permit_cb_t cb;
     void *ctx;
@@ -213,7 +213,7 @@
     pending->exchange = exchange;
     pending->next = exchange->pending;
     pending->number = ++exchange->last_number;
-    pending->asked_ms = current_ms(exchange);
+    pending->requested_ms = current_ms(exchange);
     pending->backend = backend_ref(backend);
     backend->permits_asked++;
     exchange->pending = pending;
@@ -264,14 +264,14 @@
         return PERMIT_REFUSED;
     char address[ADDR_TEXT_MAX];
     Iris__PermitRequest message = IRIS__PERMIT_REQUEST__INIT;
-    Iris__BackendNotice told;
+    Iris__BackendNotice notice_message;
     const notice_t notice = make_notice(backend);
-    notice_message_fill(&told, &notice, current_ms(exchange));
+    notice_message_fill(&notice_message, &notice, current_ms(exchange));
     addr_format(&exchange->conf.own, address);
     *pending = add_pending(exchange, backend);
     (*pending)->cb = cb;
     (*pending)->ctx = ctx;
-    message.notice = &told;
+    message.notice = &notice_message;
     message.number = (*pending)->number;
     message.address = address;
     send_request(exchange, owner, &message);
@@ -305,18 +305,18 @@
     if (pending == NULL)
         return;
     /* After a stall, answers are read before timers run, so a permit may have expired by now. */
-    const bool given =
-        message->given && current_ms(exchange) - pending->asked_ms <= (uint64_t)PERMIT_LIFE_MS;
+    const bool granted =
+        message->given && current_ms(exchange) - pending->requested_ms <= (uint64_t)PERMIT_LIFE_MS;
     const permit_cb_t cb = pending->cb;
     void *ctx = pending->ctx;
     pending->backend->permits_unanswered = 0;
-    if (!given)
+    if (!granted)
         defer_requests(exchange, pending->backend, message->wait_ms);
     remove_pending(pending);
     if (message->notice != NULL &&
         notice_message_read(message->notice, &notice, current_ms(exchange)))
         catalog_take_notice(exchange->conf.catalog, &notice, NOTICE_OF_PERMIT);
-    cb(ctx, given);
+    cb(ctx, granted);
 }
 
 void
--- a/gateway/state/receivers.c
+++ b/gateway/state/receivers.c
@@ -33,7 +33,7 @@
             continue;
         if (input->all_regions || member->region == input->region)
             receivers.items[receivers.count++] =
-                (receiver_t){rank_key(name, at), &member->peer, member->reads};
+                (receiver_t){rank_key(name, at), &member->peer, member->view_format};
     }
     qsort(receivers.items, receivers.count, sizeof(*receivers.items), by_key);
     while (receivers.items[receivers.own].peer != NULL)
@@ -48,7 +48,7 @@
         const member_t *member = &input->members->items[i];
         const bool is_self = name_eq(&member->instance, input->instance);
         if (!is_self && member_alive(member, input->now_ms) && member->region == input->region &&
-            member->reads < VIEW_READS_LISTS)
+            member->view_format < VIEW_READS_LISTS)
             return false;
     }
     return true;
