--- a/gateway/membership/members.c
+++ b/gateway/membership/members.c
@@ -139,7 +139,7 @@
 }
 
 bool
-members_store_fails_any(const members_t *members, uint64_t now_ms)
+members_any_store_failure(const members_t *members, uint64_t now_ms)
 {
     for (size_t i = 0; i < members->count; i++) {
         if (member_alive(&members->items[i], now_ms) && members->items[i].store_failing)
--- a/gateway/membership/members.h
+++ b/gateway/membership/members.h
@@ -117,7 +117,7 @@
 bool members_store_is_down(const members_t *members, str_t own, bool own_failing, uint32_t age_ms,
                            uint64_t now_ms);
 /* True if the store fails for an alive member. */
-bool members_store_fails_any(const members_t *members, uint64_t now_ms);
+bool members_any_store_failure(const members_t *members, uint64_t now_ms);
 /* Newest revision of a view, above `at` and with another digest, that an alive member holds; 0 if
  * there is none. */
 uint64_t members_newer_view(const members_t *members, view_kind_t kind, uint64_t at,
--- a/gateway/state/store_watch.c
+++ b/gateway/state/store_watch.c
@@ -159,7 +159,7 @@
     const members_t *members = watch->conf.members;
     const uint64_t now_ms = loop_now(watch->conf.loop);
     const bool calls = watch->watching || watch->failures > 0;
-    if (members_store_fails_any(members, now_ms))
+    if (members_any_store_failure(members, now_ms))
         watch->failed_ms = now_ms;
     if (members_store_serves(members, answer_age_max_ms(watch, now_ms), now_ms))
         notice_return(watch, "peer");
