--- a/gateway/membership/account_exchange.c
+++ b/gateway/membership/account_exchange.c
@@ -13,8 +13,8 @@
 #include "base/xmalloc.h"
 
 enum {
-    PEER_EXPIRE_MS =
-        1200, /* owners silent for longer get no sums; equals SILENT_MS of the ledgers */
+    /* Owners silent for longer get no sums; equals SILENT_MS of the ledgers. */
+    PEER_EXPIRE_MS = 1200,
     CANDIDATE_TRY_MS = 100,     /* time per instance of a region without a known owner */
     SUMS_PER_MESSAGE_MAX = 256, /* 8 kB */
 };
