--- a/gateway/gateway_state.h
+++ b/gateway/gateway_state.h
@@ -10,9 +10,9 @@
 #include "gateway/deferred.h"
 #include "gateway/gateway.h"
 #include "gateway/listeners.h"
-#include "gateway/membership/account_news.h"
+#include "gateway/membership/account_sync.h"
 #include "gateway/membership/discovery.h"
-#include "gateway/membership/notice_news.h"
+#include "gateway/membership/notice_gossip.h"
 #include "gateway/membership/permit_exchange.h"
 #include "gateway/path/exchange.h"
 #include "gateway/resume.h"
@@ -31,11 +31,11 @@
     heartbeat_t heartbeat;
     discovery_t discovery;
     suspects_t suspects;
-    suspect_news_t suspect_news;
-    notice_news_t notice_news;
+    suspect_gossip_t suspect_news;
+    notice_gossip_t notice_news;
     permit_exchange_t permit_exchange;
     account_uses_t account_uses;
-    account_news_t account_news;
+    account_sync_t account_news;
     peer_hub_t *hub;
     listeners_t listeners;
     resume_t resume;
--- a/gateway/membership/discovery.c
+++ b/gateway/membership/discovery.c
@@ -7,11 +7,11 @@
 #include "gateway/state/store_calls.h"
 
 enum {
-    /* An instance that was announced before hears so in this time: a connection and an answer
-     * between regions take 0.15 s, and a busy instance of a tenth of a core as much. Chosen. */
-    PEERS_FIRST_MS = 600,
-    RETRY_MS = 2000,  /* until the announcement has worked. Chosen, not measured */
-    ALONE_MS = 10000, /* between the attempts of an instance that hears of no other. Chosen */
+    /* Time for peers to report an earlier announcement: a connection and an answer between regions,
+     * and a slow peer. */
+    START_DELAY_MS = 600,
+    RETRY_MS = 2000,            /* after a failed call */
+    RELIST_INTERVAL_MS = 10000, /* while no other instance is heard */
 };
 
 void
@@ -19,7 +19,7 @@
 {
     *discovery = (discovery_t){
         .conf = *conf,
-        .next_at_ms = loop_now(conf->loop) + PEERS_FIRST_MS,
+        .next_at_ms = loop_now(conf->loop) + START_DELAY_MS,
     };
 }
 
@@ -43,8 +43,8 @@
     if (discovery->conf.decoder->instance(item->body, &peer, &hall, &err))
         heartbeat_add_address(discovery->conf.heartbeat, &peer, &hall, true);
     else
-        LOG_WARN("instance entry not usable: instance=%.*s err=%s detail=\"%s\"",
-                 STR_ARG(item->name), err_name(err.code), err.detail);
+        LOG_WARN("invalid instance entry: instance=%.*s err=%s detail=\"%s\"", STR_ARG(item->name),
+                 err_name(err.code), err.detail);
 }
 
 static void
@@ -52,8 +52,8 @@
 {
     discovery_t *discovery = ctx;
     if (answer->outcome != STORE_OK) {
-        LOG_WARN("instances not listed: detail=\"%s\"", answer->err.detail);
-        return; /* the next tick that is due lists again */
+        LOG_WARN("failed to list instances: detail=\"%s\"", answer->err.detail);
+        return; /* the next due tick retries */
     }
     for (size_t i = 0; i < answer->item_count; i++)
         add_instance(discovery, &answer->items[i]);
@@ -61,7 +61,7 @@
         list_instances(discovery, answer->items[answer->item_count - 1].name);
         return;
     }
-    discovery->next_at_ms = loop_now(discovery->conf.loop) + ALONE_MS;
+    discovery->next_at_ms = loop_now(discovery->conf.loop) + RELIST_INTERVAL_MS;
     heartbeat_send(discovery->conf.heartbeat, loop_now(discovery->conf.loop));
 }
 
@@ -70,7 +70,7 @@
 {
     discovery_t *discovery = ctx;
     if (answer->outcome != STORE_OK && answer->outcome != STORE_CONFLICT) {
-        LOG_WARN("not announced in the store: detail=\"%s\"", answer->err.detail);
+        LOG_WARN("failed to announce in the store: detail=\"%s\"", answer->err.detail);
         return;
     }
     heartbeat_set_announced(discovery->conf.heartbeat);
@@ -89,11 +89,11 @@
 }
 
 void
-discovery_tick(discovery_t *discovery, bool alone)
+discovery_tick(discovery_t *discovery, bool isolated)
 {
     const uint64_t now_ms = loop_now(discovery->conf.loop);
     const bool announced = discovery->conf.heartbeat->announced;
-    if ((announced && !alone) || now_ms < discovery->next_at_ms)
+    if ((announced && !isolated) || now_ms < discovery->next_at_ms)
         return;
     discovery->next_at_ms = now_ms + RETRY_MS;
     if (announced)
--- a/gateway/membership/heartbeat.c
+++ b/gateway/membership/heartbeat.c
@@ -3,12 +3,12 @@
 #include "base/xmalloc.h"
 #include "gateway/membership/heartbeat.h"
 
-/* A heartbeat is sent up to this long before its time, so that ticks of 200 ms do not delay it. */
-enum { EARLY_MS = 100 };
+/* Heartbeats may be sent this much early, so that ticks of 200 ms do not delay them. */
+enum { SEND_EARLY_MS = 100 };
 
-/* Instances that are logged as heard between two ticks: a fleet of 295 that starts would write 98
- * lines each, and lose others. Chosen. */
-enum { HEARD_LINES_MAX = 16 };
+/* Limit of "instance heard" lines per tick, so that the start of a large fleet does not flood the
+ * log. */
+enum { HEARD_LOG_LINES_MAX = 16 };
 
 static size_t
 region_of(const heartbeat_t *heartbeat, const name_t *hall)
@@ -22,17 +22,17 @@
     return addr_eq(peer, &heartbeat->conf.settings->peer);
 }
 
-/* In a large fleet instances of other regions are heard only now and then. */
+/* In a large fleet, members of other regions send heartbeats only occasionally. */
 static bool
-is_heard_often(const heartbeat_t *heartbeat, const member_t *member)
+is_heard_regularly(const heartbeat_t *heartbeat, const member_t *member)
 {
-    return heartbeat->conf.members->count <= MEMBERS_MESH ||
+    return heartbeat->conf.members->count <= MEMBERS_FULL_MESH_MAX ||
            member->region == heartbeat->conf.region;
 }
 
-/* Adds the service's demand to what is told; the least one goes if there are too many. */
+/* Adds the service's demand; replaces the smallest one if the list is full. */
 static void
-tell_demand(member_t *self, const service_t *service)
+add_demand(member_t *self, const service_t *service)
 {
     const member_demand_t demand = {service->name, service->demand};
     if (self->demand_count < MEMBER_DEMANDS_MAX) {
@@ -48,13 +48,13 @@
         *least = demand;
 }
 
-/* Keeps the instance's own member up to date. */
+/* Updates this instance's entry in the table of members. */
 static void
 update_self(heartbeat_t *heartbeat, uint64_t now_ms)
 {
     const gateway_settings_t *settings = heartbeat->conf.settings;
     const services_t *services = heartbeat->conf.services;
-    member_t *self = members_at(heartbeat->conf.members, &settings->peer);
+    member_t *self = members_find_or_add(heartbeat->conf.members, &settings->peer);
     self->heard = true;
     self->heard_ms = now_ms;
     self->instance = settings->name;
@@ -63,8 +63,8 @@
     self->callers = settings->callers;
     self->incarnation = heartbeat->conf.incarnation;
     self->ready = heartbeat->ready;
-    self->reads_accounts = true;
-    self->gives_permits = true;
+    self->supports_accounts = true;
+    self->supports_permits = true;
     self->leaving = heartbeat->leaving;
     self->announced = heartbeat->announced;
     self->interval_ms = members_interval_ms(heartbeat->conf.members, self->region, now_ms);
@@ -76,7 +76,7 @@
     };
     self->demand_count = 0;
     for (size_t i = 0; i < services->count; i++)
-        tell_demand(self, services->items[i]);
+        add_demand(self, services->items[i]);
 }
 
 void
@@ -115,7 +115,7 @@
 }
 
 void
-heartbeat_call_unheard(heartbeat_t *heartbeat)
+heartbeat_retry_unheard(heartbeat_t *heartbeat)
 {
     members_t *members = heartbeat->conf.members;
     for (size_t i = 0; i < members->count; i++) {
@@ -131,12 +131,12 @@
     members_t *members = heartbeat->conf.members;
     update_self(heartbeat, now_ms);
     const heartbeat_source_t source = {
-        .self = members_at(members, &heartbeat->conf.settings->peer),
+        .self = members_find_or_add(members, &heartbeat->conf.settings->peer),
         .members = members,
         .views = heartbeat->conf.views,
         .watch = heartbeat->conf.watch,
-        .news = heartbeat->conf.news,
-        .notices = heartbeat->conf.notices,
+        .suspect_gossip = heartbeat->conf.suspect_gossip,
+        .notice_gossip = heartbeat->conf.notice_gossip,
         .resumed = heartbeat->resumed,
         .backends = heartbeat->conf.backends,
         .round = heartbeat->round,
@@ -163,46 +163,48 @@
     }
 }
 
-/* Logs the members that count as lost from now on. */
+/* Logs members that have become lost. */
 static void
 log_lost(heartbeat_t *heartbeat, uint64_t now_ms)
 {
     for (size_t i = 0; i < heartbeat->conf.members->count; i++) {
         member_t *member = &heartbeat->conf.members->items[i];
-        if (!member->logged_living || member_alive(member, now_ms))
+        if (!member->logged_alive || member_alive(member, now_ms))
             continue;
-        member->logged_living = false;
-        if (is_heard_often(heartbeat, member))
+        member->logged_alive = false;
+        if (is_heard_regularly(heartbeat, member))
             LOG_INFO("instance lost: instance=%s hall=%s silent_ms=%llu", member->instance.ptr,
                      member->hall.ptr, (unsigned long long)(now_ms - member->heard_ms));
     }
 }
 
 static size_t
-addresses_for(const heartbeat_t *heartbeat, const member_t *newcomer)
+max_addresses_for(const heartbeat_t *heartbeat, const member_t *new_member)
 {
-    if (newcomer->region != heartbeat->conf.region && newcomer->region_members > 1)
+    if (new_member->region != heartbeat->conf.region && new_member->region_members > 1)
         return 0;
-    return settings_is_seed(heartbeat->conf.settings) ? HEARTBEAT_PEERS_MAX : HEARTBEAT_PEERS_FEW;
+    return settings_is_seed(heartbeat->conf.settings) ? HEARTBEAT_PEERS_MAX
+                                                      : HEARTBEAT_PEERS_NON_SEED_MAX;
 }
 
-/* An instance heard anew learns at once who there is and which views there are, so that it need not
- * ask the store. Addresses go to another region only if it has heard of nobody there: to all of a
- * fleet that starts they were 0.1 GB between regions (295 instances, two plays of a day). */
+/* Replies to a new or restarted member with the known addresses and views, so that it need not read
+ * the store. Addresses go to another region only if the member knows nobody there, which bounds the
+ * traffic when a fleet starts. */
 static void
-answer_newcomer(heartbeat_t *heartbeat, const member_t *member, bool was_announced, uint64_t now_ms)
+reply_to_new_member(heartbeat_t *heartbeat, const member_t *member, bool was_announced,
+                    uint64_t now_ms)
 {
     const heartbeat_source_t source = {
-        .self = members_at(heartbeat->conf.members, &heartbeat->conf.settings->peer),
+        .self = members_find_or_add(heartbeat->conf.members, &heartbeat->conf.settings->peer),
         .members = heartbeat->conf.members,
         .views = heartbeat->conf.views,
         .watch = heartbeat->conf.watch,
-        .news = heartbeat->conf.news,
-        .notices = heartbeat->conf.notices,
+        .suspect_gossip = heartbeat->conf.suspect_gossip,
+        .notice_gossip = heartbeat->conf.notice_gossip,
         .backends = heartbeat->conf.backends,
-        .round = heartbeat->answers++,
-        .is_answer = true,
-        .addresses = addresses_for(heartbeat, member),
+        .round = heartbeat->replies_sent++,
+        .is_reply = true,
+        .addresses_max = max_addresses_for(heartbeat, member),
         .was_announced = was_announced,
         .now_ms = now_ms,
     };
@@ -215,9 +217,9 @@
     peer_send(heartbeat->conf.hub, &member->peer, &envelope);
 }
 
-/* The store fails this instance from now on, or no longer: who watches it depends on that. */
+/* True if the store has begun or ceased to fail for this instance, which affects who watches it. */
 static bool
-has_store_news(const heartbeat_t *heartbeat)
+store_status_changed(const heartbeat_t *heartbeat)
 {
     return heartbeat->store_failing != store_watch_is_failing(heartbeat->conf.watch);
 }
@@ -228,12 +230,12 @@
     const uint32_t interval_ms =
         members_interval_ms(heartbeat->conf.members, heartbeat->conf.region, now_ms);
     log_lost(heartbeat, now_ms);
-    if (heartbeat->heard_lines > HEARD_LINES_MAX)
-        LOG_INFO("more instances heard at once than lines: heard=%u lines=%d",
-                 heartbeat->heard_lines, HEARD_LINES_MAX);
-    heartbeat->heard_lines = 0;
-    heartbeat->is_due |= has_store_news(heartbeat);
-    if (heartbeat->is_due || now_ms - heartbeat->sent_ms + EARLY_MS >= interval_ms)
+    if (heartbeat->heard_log_lines > HEARD_LOG_LINES_MAX)
+        LOG_INFO("too many instances heard, lines omitted: heard=%u lines=%d",
+                 heartbeat->heard_log_lines, HEARD_LOG_LINES_MAX);
+    heartbeat->heard_log_lines = 0;
+    heartbeat->is_due |= store_status_changed(heartbeat);
+    if (heartbeat->is_due || now_ms - heartbeat->sent_ms + SEND_EARLY_MS >= interval_ms)
         heartbeat_send(heartbeat, now_ms);
 }
 
@@ -242,7 +244,7 @@
                       bool announced)
 {
     const size_t known = heartbeat->conf.members->count;
-    member_t *member = members_at(heartbeat->conf.members, peer);
+    member_t *member = members_find_or_add(heartbeat->conf.members, peer);
     if (member == NULL)
         return;
     member->announced |= announced;
@@ -253,7 +255,7 @@
     member->region = region_of(heartbeat, hall);
 }
 
-/* Addresses that cannot be read are left out; other peers send theirs too. */
+/* Skips invalid addresses. */
 static void
 add_addresses(heartbeat_t *heartbeat, const Iris__GatewayHeartbeat *message)
 {
@@ -266,7 +268,7 @@
     }
 }
 
-/* Outcomes at backends that this instance does not know (yet), or at another life, are left out. */
+/* Skips outcomes for backends that are unknown here or have been restarted. */
 static void
 add_outcomes(const backends_t *backends, const Iris__GatewayHeartbeat *message, uint64_t now_ms)
 {
@@ -278,15 +280,15 @@
     }
 }
 
-/* Logs that an instance came back, restarted or leaves. */
+/* Logs that an instance appeared, restarted or is leaving. */
 static void
 log_change(heartbeat_t *heartbeat, const member_t *member, const Iris__GatewayHeartbeat *message,
            uint64_t now_ms)
 {
     const bool restarted = member->heard && member->incarnation != message->incarnation;
-    const bool expected = !member->heard || is_heard_often(heartbeat, member);
-    const bool is_news = restarted || (expected && !member_alive(member, now_ms));
-    if (is_news && heartbeat->heard_lines++ < HEARD_LINES_MAX)
+    const bool expected = !member->heard || is_heard_regularly(heartbeat, member);
+    const bool is_newly_heard = restarted || (expected && !member_alive(member, now_ms));
+    if (is_newly_heard && heartbeat->heard_log_lines++ < HEARD_LOG_LINES_MAX)
         LOG_INFO("instance heard: instance=%s hall=%s silent_ms=%llu restarted=%d",
                  message->instance, message->place,
                  (unsigned long long)(member->heard ? now_ms - member->heard_ms : 0), restarted);
@@ -299,11 +301,11 @@
 {
     heartbeat_sender_t sender;
     if (!heartbeat_message_sender(message, &sender)) {
-        LOG_WARN("heartbeat not usable: instance=%s", message->instance);
+        LOG_WARN("invalid heartbeat: instance=%s", message->instance);
         return;
     }
     add_addresses(heartbeat, message);
-    member_t *member = members_at(heartbeat->conf.members, &sender.peer);
+    member_t *member = members_find_or_add(heartbeat->conf.members, &sender.peer);
     if (member == NULL || is_self(heartbeat, &sender.peer))
         return;
     log_change(heartbeat, member, message, now_ms);
@@ -311,20 +313,20 @@
     const bool was_announced = member->announced;
     member->heard = true;
     member->heard_ms = now_ms;
-    member->refuses = false;
+    member->refuses_connections = false;
     if (is_new)
         member->accounts_avoided_until_ms = 0;
-    member->logged_living = true;
+    member->logged_alive = true;
     member->instance = sender.instance;
     member->hall = sender.hall;
     member->region = region_of(heartbeat, &sender.hall);
     member->callers = sender.callers;
     heartbeat_message_apply(message, member);
     member->announced |= was_announced;
-    suspect_news_join(heartbeat->conf.news, message->suspects, message->n_suspects);
-    notice_news_join(heartbeat->conf.notices, message->notices, message->n_notices);
+    suspect_gossip_merge(heartbeat->conf.suspect_gossip, message->suspects, message->n_suspects);
+    notice_gossip_merge(heartbeat->conf.notice_gossip, message->notices, message->n_notices);
     if (is_new || message->resumed)
-        answer_newcomer(heartbeat, member, was_announced, now_ms);
+        reply_to_new_member(heartbeat, member, was_announced, now_ms);
     if (message->was_announced)
         heartbeat_set_announced(heartbeat);
     add_outcomes(heartbeat->conf.backends, message, now_ms);
--- a/gateway/membership/members.c
+++ b/gateway/membership/members.c
@@ -7,33 +7,31 @@
 #include "gateway/membership/members.h"
 
 enum {
-    KEY_SEED = 51, /* any number; the same on every instance */
-    ITEMS_START = 16,
-    RETRY_SILENT_MS = 1200, /* how often a silent instance is tried. Chosen: three heartbeats */
-    /* A watch rests for 3 s at most; the rest is for its way (commit 4d7e314). */
+    KEY_SEED = 51, /* must be the same on every instance */
+    INITIAL_CAPACITY = 16,
+    RETRY_SILENT_MS = 1200, /* interval of retries to a silent member */
+    /* An idle watch answers after at most 3 s; the rest allows for latency. */
     WATCHER_AGE_MAX_MS = 3500,
 };
 
-/* Intervals without a heartbeat after which an instance counts as lost: 1.8 s in a small region.
- * Chosen, not measured. */
+/* Intervals without a heartbeat after which an instance counts as lost: 1.8 s in a small region. */
 #define LOST_INTERVALS 4.5
-/* And after which it is not named to callers any more: 1.3 s in a small region. Chosen, not
- * measured. */
-#define UNNAMED_INTERVALS 3.25
+/* Intervals after which it is no longer listed to callers: 1.3 s in a small region. */
+#define UNLISTED_INTERVALS 3.25
 
 member_t *
-members_at(members_t *members, const addr_t *peer)
+members_find_or_add(members_t *members, const addr_t *peer)
 {
     for (size_t i = 0; i < members->count; i++) {
         if (addr_eq(&members->items[i].peer, peer))
             return &members->items[i];
     }
     if (members->count == MEMBERS_MAX) {
-        LOG_WARN("instance not kept: members=%zu", members->count);
+        LOG_WARN("member table is full: members=%zu", members->count);
         return NULL;
     }
     if (members->count == members->size) {
-        members->size = members->size > 0 ? members->size * 2 : ITEMS_START;
+        members->size = members->size > 0 ? members->size * 2 : INITIAL_CAPACITY;
         members->items = xrealloc(members->items, members->size * sizeof(*members->items));
     }
     member_t *member = &members->items[members->count++];
@@ -48,7 +46,7 @@
     return member->interval_ms > 0 ? member->interval_ms : HEARTBEAT_MIN_MS;
 }
 
-/* Silence, in milliseconds, after which an instance counts as lost. */
+/* Milliseconds of silence after which an instance counts as lost. */
 static uint64_t
 member_lost_after_ms(const member_t *member)
 {
@@ -56,9 +54,9 @@
 }
 
 uint64_t
-member_unnamed_after_ms(const member_t *member)
+member_unlisted_after_ms(const member_t *member)
 {
-    return (uint64_t)(UNNAMED_INTERVALS * interval_of(member));
+    return (uint64_t)(UNLISTED_INTERVALS * interval_of(member));
 }
 
 bool
@@ -102,7 +100,7 @@
     return newest;
 }
 
-/* True if the store answered the living member within that age. */
+/* True if the member is alive and the store answered it within `age_ms`. */
 static bool
 has_recent_answer(const member_t *member, uint32_t age_ms, uint64_t now_ms)
 {
@@ -113,20 +111,20 @@
 bool
 members_watch_store(const members_t *members, size_t region, uint32_t age_ms, uint64_t now_ms)
 {
-    const bool all_send_changes = members->count <= MEMBERS_MESH;
+    const bool all_send_changes = members->count <= MEMBERS_FULL_MESH_MAX;
     for (size_t i = 0; i < members->count; i++) {
-        const bool tells = all_send_changes || members->items[i].region == region;
-        if (tells && has_recent_answer(&members->items[i], age_ms, now_ms))
+        const bool sends_changes = all_send_changes || members->items[i].region == region;
+        if (sends_changes && has_recent_answer(&members->items[i], age_ms, now_ms))
             return true;
     }
     return false;
 }
 
 bool
-members_store_is_away(const members_t *members, str_t own, bool own_failing, uint32_t age_ms,
+members_store_is_down(const members_t *members, str_t own, bool own_failing, uint32_t age_ms,
                       uint64_t now_ms)
 {
-    size_t living = 1;
+    size_t alive = 1;
     size_t failing = own_failing;
     for (size_t i = 0; i < members->count; i++) {
         const member_t *member = &members->items[i];
@@ -134,14 +132,14 @@
             continue;
         if (!member->store_failing && has_recent_answer(member, age_ms, now_ms))
             return false;
-        living++;
+        alive++;
         failing += member->store_failing;
     }
-    return failing >= (living < MEMBERS_WITNESSES ? living : MEMBERS_WITNESSES);
+    return failing >= (alive < MEMBERS_OUTAGE_QUORUM ? alive : MEMBERS_OUTAGE_QUORUM);
 }
 
 bool
-members_store_fails_any(const members_t *members, uint64_t now_ms)
+members_any_store_failure(const members_t *members, uint64_t now_ms)
 {
     for (size_t i = 0; i < members->count; i++) {
         if (member_alive(&members->items[i], now_ms) && members->items[i].store_failing)
@@ -183,9 +181,9 @@
     return slots;
 }
 
-/* The member of a region that was heard last. */
+/* Returns the member of the region that was heard last, or NULL. */
 static const member_t *
-latest_of(const members_t *members, size_t region)
+latest_in_region(const members_t *members, size_t region)
 {
     const member_t *latest = NULL;
     for (size_t i = 0; i < members->count; i++) {
@@ -203,7 +201,7 @@
 {
     if (region == own_region)
         return own_region_demand(members, service, region, now_ms);
-    const member_t *latest = latest_of(members, region);
+    const member_t *latest = latest_in_region(members, region);
     if (latest == NULL || !member_alive(latest, now_ms))
         return 0;
     return find_demand(latest->region_demands, latest->region_demand_count, service);
@@ -222,7 +220,7 @@
 }
 
 size_t
-members_living_everywhere(const members_t *members, uint64_t now_ms)
+members_count_alive(const members_t *members, uint64_t now_ms)
 {
     size_t count = 0;
     for (size_t i = 0; i < members->count; i++)
@@ -231,7 +229,7 @@
 }
 
 size_t
-members_living(const members_t *members, size_t region, uint64_t now_ms)
+members_count_alive_in_region(const members_t *members, size_t region, uint64_t now_ms)
 {
     size_t count = 0;
     for (size_t i = 0; i < members->count; i++)
@@ -249,9 +247,9 @@
             heard[members->items[i].region]++;
     }
     for (size_t region = 0; region <= TOPOLOGY_REGIONS_MAX; region++) {
-        const member_t *latest = region != own_region ? latest_of(members, region) : NULL;
-        const size_t told = latest != NULL ? latest->region_members : 0;
-        total += told > heard[region] ? told : heard[region];
+        const member_t *latest = region != own_region ? latest_in_region(members, region) : NULL;
+        const size_t reported = latest != NULL ? latest->region_members : 0;
+        total += reported > heard[region] ? reported : heard[region];
     }
     return total;
 }
@@ -259,13 +257,14 @@
 uint32_t
 members_interval_ms(const members_t *members, size_t region, uint64_t now_ms)
 {
-    const size_t scaled = HEARTBEAT_MEMBER_MS * members_living(members, region, now_ms);
+    const size_t scaled =
+        HEARTBEAT_MS_PER_MEMBER * members_count_alive_in_region(members, region, now_ms);
     if (scaled < HEARTBEAT_MIN_MS)
         return HEARTBEAT_MIN_MS;
     return scaled < HEARTBEAT_MAX_MS ? (uint32_t)scaled : HEARTBEAT_MAX_MS;
 }
 
-/* The member's position among the members of its region, and the number of these. */
+/* Returns the member's position in its region and sets `count` to the region's size. */
 static size_t
 index_in_region(const members_t *members, size_t index, size_t *count)
 {
@@ -285,12 +284,12 @@
                   uint64_t now_ms)
 {
     const member_t *member = &members->items[index];
-    if (members->count <= MEMBERS_MESH || member->region == own_region)
+    if (members->count <= MEMBERS_FULL_MESH_MAX || member->region == own_region)
         return member_alive(member, now_ms) || now_ms - member->sent_ms >= RETRY_SILENT_MS;
     size_t count;
     const size_t position = index_in_region(members, index, &count);
-    const size_t turn = (size_t)round * MEMBERS_OTHER_REGION % count;
-    return (position + count - turn) % count < MEMBERS_OTHER_REGION;
+    const size_t turn = (size_t)round * MEMBERS_PER_REMOTE_REGION % count;
+    return (position + count - turn) % count < MEMBERS_PER_REMOTE_REGION;
 }
 
 uint64_t
--- a/gateway/membership/permit_exchange.c
+++ b/gateway/membership/permit_exchange.c
@@ -8,39 +8,39 @@
 #include "gateway/membership/owner.h"
 
 enum {
-    /* Until the next request after one without an answer, or where no owner is known: an owner that
-     * stands still is counted as lost after 1.8 s. */
-    UNANSWERED_MS = 500,
-    /* Requests of one instance for one backend server that wait: others would wait in vain. */
-    ASKED_MAX = 8,
-    /* An instance that fell silent may be on the other side of a cut for so long; regions lose each
-     * other for minutes. */
-    KNOWN_MS = 600000,
+    /* Delay before the next request after a timeout, or while no owner is known. A stalled owner
+     * counts as lost after 1.8 s. */
+    RETRY_DELAY_MS = 500,
+    /* Pending requests per backend server; further ones would not be answered in time. */
+    PENDING_MAX = 8,
+    /* Instances silent for less than this count as known: they may still run on the other side of a
+     * network partition. */
+    MEMBER_EXPIRE_MS = 600000,
 };
 
-struct permit_wait {
-    permit_wait_t *next;
+struct pending_permit {
+    pending_permit_t *next;
     permit_exchange_t *exchange;
     uint64_t number;
-    uint64_t asked_ms;
+    uint64_t requested_ms;
     backend_t *backend; /* a reference */
     permit_cb_t cb;
     void *ctx;
 };
 
 static uint64_t
-now_of(const permit_exchange_t *exchange)
+current_ms(const permit_exchange_t *exchange)
 {
     return loop_now(exchange->conf.loop);
 }
 
 void
-permit_exchange_init(permit_exchange_t *exchange, const notice_conf_t *conf)
+permit_exchange_init(permit_exchange_t *exchange, const notice_gossip_conf_t *conf)
 {
     *exchange = (permit_exchange_t){.conf = *conf};
 }
 
-/* ---- the owner ---- */
+/* ---- owner ---- */
 
 static bool
 has_members(const members_t *members, size_t region)
@@ -52,7 +52,7 @@
     return false;
 }
 
-/* The backend's, or the first one that has an instance. */
+/* The backend's region, or the first region with a member if it has none. */
 static size_t
 owner_region(const permit_exchange_t *exchange, size_t region)
 {
@@ -64,10 +64,10 @@
     return exchange->conf.region;
 }
 
-/* Of another region of a large fleet the next one is asked after each that gave no answer: whoever
- * lives there sends the request on. */
+/* In a large fleet, the liveness of other regions is not known: each timeout moves on to the next
+ * candidate, which forwards the request. */
 static const member_t *
-owner_of(const permit_exchange_t *exchange, const backend_t *backend)
+find_owner(const permit_exchange_t *exchange, const backend_t *backend)
 {
     const members_t *members = exchange->conf.members;
     const size_t region = owner_region(exchange, backend->region);
@@ -76,9 +76,10 @@
         .kind = OWNER_OF_BACKEND,
         .key = backend->key,
         .region = region,
-        .is_judged = region == exchange->conf.region || members->count <= MEMBERS_MESH,
+        .liveness_known =
+            region == exchange->conf.region || members->count <= MEMBERS_FULL_MESH_MAX,
         .rank = backend->permits_unanswered % OWNER_RANKS,
-        .now_ms = now_of(exchange),
+        .now_ms = current_ms(exchange),
     };
     const member_t *owner = owner_find(&input);
     input.rank = 0;
@@ -92,16 +93,16 @@
 }
 
 static permit_rate_t
-rate_of(const permit_exchange_t *exchange, double limit_per_s)
+compute_rate(const permit_exchange_t *exchange, double limit_per_s)
 {
     const members_t *members = exchange->conf.members;
-    const uint64_t now_ms = now_of(exchange);
+    const uint64_t now_ms = current_ms(exchange);
     size_t known = 0;
     size_t heard = 0;
     for (size_t i = 0; i < members->count; i++) {
         const member_t *member = &members->items[i];
-        if (!member->heard || member->region != exchange->conf.region || member->refuses ||
-            now_ms - member->heard_ms > KNOWN_MS)
+        if (!member->heard || member->region != exchange->conf.region ||
+            member->refuses_connections || now_ms - member->heard_ms > MEMBER_EXPIRE_MS)
             continue;
         known++;
         heard += member_alive(member, now_ms);
@@ -109,20 +110,20 @@
     return rate_limit_permits(limit_per_s, heard, known);
 }
 
-/* Gives or refuses a permit as the owner. */
+/* Grants or refuses a permit as the owner. */
 static bool
-take(permit_exchange_t *exchange, const notice_t *notice, uint32_t *wait_ms)
+take_permit(permit_exchange_t *exchange, const notice_t *notice, uint32_t *wait_ms)
 {
     if (!notice->limit.named)
         return true;
-    const permit_rate_t rate = rate_of(exchange, notice->limit.per_s);
+    const permit_rate_t rate = compute_rate(exchange, notice->limit.per_s);
     const uint64_t life = backend_life(name_str(&notice->backend), notice->born);
-    return permits_take(&exchange->permits, life, rate, now_of(exchange), wait_ms);
+    return permits_take(&exchange->permits, life, rate, current_ms(exchange), wait_ms);
 }
 
-/* What is known here of the backend that a notice is about; the notice itself if nothing is. */
+/* Returns the stored notice for the backend, or `notice` if there is none. */
 static notice_t
-known_of(const permit_exchange_t *exchange, const notice_t *notice)
+newest_notice(const permit_exchange_t *exchange, const notice_t *notice)
 {
     const notice_t *known =
         notices_find(&exchange->conf.catalog->notices, name_str(&notice->backend), notice->born);
@@ -130,18 +131,18 @@
 }
 
 static void
-answer(permit_exchange_t *exchange, peer_conn_t *conn, const Iris__PermitRequest *request,
-       const notice_t *notice)
+send_answer(permit_exchange_t *exchange, peer_conn_t *conn, const Iris__PermitRequest *request,
+            const notice_t *notice)
 {
     Iris__PermitAnswer message = IRIS__PERMIT_ANSWER__INIT;
     Iris__BackendNotice known;
     Iris__Envelope envelope = IRIS__ENVELOPE__INIT;
     addr_t address;
-    const notice_t own = known_of(exchange, notice);
-    notice_message_fill(&known, &own, now_of(exchange));
+    const notice_t own = newest_notice(exchange, notice);
+    notice_message_fill(&known, &own, current_ms(exchange));
     message.notice = &known;
     message.number = request->number;
-    message.given = take(exchange, &own, &message.wait_ms);
+    message.given = take_permit(exchange, &own, &message.wait_ms);
     envelope.schema = PEER_SCHEMA;
     envelope.body_case = IRIS__ENVELOPE__BODY_PERMIT_ANSWER;
     envelope.permit_answer = &message;
@@ -162,15 +163,15 @@
     peer_send(exchange->conf.hub, &owner->peer, &envelope);
 }
 
-/* True if another instance is the owner as it seems from here, and got the request. One that is not
- * in the list here yet is taken for one's own. */
+/* Returns true if another instance owns the backend; forwards the request unless it was forwarded
+ * already. Backends that are not in the configuration here yet are treated as owned. */
 static bool
 forward(const permit_exchange_t *exchange, const Iris__PermitRequest *request,
         const notice_t *notice)
 {
     const backend_t *backend =
         backends_find(&exchange->conf.catalog->backends, name_str(&notice->backend));
-    const member_t *owner = backend != NULL ? owner_of(exchange, backend) : NULL;
+    const member_t *owner = backend != NULL ? find_owner(exchange, backend) : NULL;
     if (owner == NULL || is_self(exchange, owner) || request->forwarded)
         return owner != NULL && !is_self(exchange, owner);
     Iris__PermitRequest copy = *request;
@@ -184,17 +185,18 @@
                            const Iris__PermitRequest *message)
 {
     notice_t notice;
-    if (message->notice == NULL || !notice_message_read(message->notice, &notice, now_of(exchange)))
+    if (message->notice == NULL ||
+        !notice_message_read(message->notice, &notice, current_ms(exchange)))
         return;
     catalog_take_notice(exchange->conf.catalog, &notice, NOTICE_OF_PERMIT);
     if (!forward(exchange, message, &notice))
-        answer(exchange, conn, message, &notice);
+        send_answer(exchange, conn, message, &notice);
 }
 
-/* ---- who asks ---- */
+/* ---- requester ---- */
 
 static notice_t
-notice_of(const backend_t *backend)
+make_notice(const backend_t *backend)
 {
     return (notice_t){
         .backend = backend->info.id,
@@ -204,120 +206,121 @@
     };
 }
 
-static permit_wait_t *
-add_wait(permit_exchange_t *exchange, backend_t *backend)
+static pending_permit_t *
+add_pending(permit_exchange_t *exchange, backend_t *backend)
 {
-    permit_wait_t *wait = xcalloc(1, sizeof(*wait));
-    wait->exchange = exchange;
-    wait->next = exchange->waits;
-    wait->number = ++exchange->number;
-    wait->asked_ms = now_of(exchange);
-    wait->backend = backend_ref(backend);
+    pending_permit_t *pending = xcalloc(1, sizeof(*pending));
+    pending->exchange = exchange;
+    pending->next = exchange->pending;
+    pending->number = ++exchange->last_number;
+    pending->requested_ms = current_ms(exchange);
+    pending->backend = backend_ref(backend);
     backend->permits_asked++;
-    exchange->waits = wait;
-    return wait;
+    exchange->pending = pending;
+    return pending;
 }
 
 static void
-drop_wait(permit_wait_t *wait)
+remove_pending(pending_permit_t *pending)
 {
-    permit_wait_t **slot = &wait->exchange->waits;
-    while (*slot != wait)
+    pending_permit_t **slot = &pending->exchange->pending;
+    while (*slot != pending)
         slot = &(*slot)->next;
-    *slot = wait->next;
-    wait->backend->permits_asked--;
-    backend_unref(wait->backend);
-    free(wait);
+    *slot = pending->next;
+    pending->backend->permits_asked--;
+    backend_unref(pending->backend);
+    free(pending);
 }
 
 static void
-refuse(const permit_exchange_t *exchange, backend_t *backend, uint32_t wait_ms)
+defer_requests(const permit_exchange_t *exchange, backend_t *backend, uint32_t wait_ms)
 {
-    backend->permit_from_ms = now_of(exchange) + (wait_ms > 0 ? wait_ms : 1);
+    backend->permit_from_ms = current_ms(exchange) + (wait_ms > 0 ? wait_ms : 1);
 }
 
-static permit_verdict_t
-ask_self(permit_exchange_t *exchange, backend_t *backend)
+static permit_result_t
+acquire_from_self(permit_exchange_t *exchange, backend_t *backend)
 {
     uint32_t wait_ms = 0;
-    const notice_t notice = notice_of(backend);
-    if (take(exchange, &notice, &wait_ms))
-        return PERMIT_GIVEN;
-    refuse(exchange, backend, wait_ms);
+    const notice_t notice = make_notice(backend);
+    if (take_permit(exchange, &notice, &wait_ms))
+        return PERMIT_GRANTED;
+    defer_requests(exchange, backend, wait_ms);
     return PERMIT_REFUSED;
 }
 
-permit_verdict_t
-permit_ask(permit_exchange_t *exchange, backend_t *backend, permit_cb_t cb, void *ctx,
-           permit_wait_t **wait)
+permit_result_t
+permit_acquire(permit_exchange_t *exchange, backend_t *backend, permit_cb_t cb, void *ctx,
+               pending_permit_t **pending)
 {
-    const member_t *owner = owner_of(exchange, backend);
+    const member_t *owner = find_owner(exchange, backend);
     if (owner == NULL) {
-        refuse(exchange, backend, UNANSWERED_MS);
+        defer_requests(exchange, backend, RETRY_DELAY_MS);
         return PERMIT_REFUSED;
     }
     if (is_self(exchange, owner))
-        return ask_self(exchange, backend);
-    if (backend->permits_asked >= ASKED_MAX)
+        return acquire_from_self(exchange, backend);
+    if (backend->permits_asked >= PENDING_MAX)
         return PERMIT_REFUSED;
     char address[ADDR_TEXT_MAX];
     Iris__PermitRequest message = IRIS__PERMIT_REQUEST__INIT;
-    Iris__BackendNotice told;
-    const notice_t notice = notice_of(backend);
-    notice_message_fill(&told, &notice, now_of(exchange));
+    Iris__BackendNotice notice_message;
+    const notice_t notice = make_notice(backend);
+    notice_message_fill(&notice_message, &notice, current_ms(exchange));
     addr_format(&exchange->conf.own, address);
-    *wait = add_wait(exchange, backend);
-    (*wait)->cb = cb;
-    (*wait)->ctx = ctx;
-    message.notice = &told;
-    message.number = (*wait)->number;
+    *pending = add_pending(exchange, backend);
+    (*pending)->cb = cb;
+    (*pending)->ctx = ctx;
+    message.notice = &notice_message;
+    message.number = (*pending)->number;
     message.address = address;
     send_request(exchange, owner, &message);
-    return PERMIT_ASKED;
+    return PERMIT_PENDING;
 }
 
 void
-permit_cancel(permit_wait_t *wait, bool late)
+permit_cancel(pending_permit_t *pending, bool late)
 {
     if (late) {
-        wait->backend->permits_unanswered++;
-        refuse(wait->exchange, wait->backend, UNANSWERED_MS);
+        pending->backend->permits_unanswered++;
+        defer_requests(pending->exchange, pending->backend, RETRY_DELAY_MS);
     }
-    drop_wait(wait);
+    remove_pending(pending);
 }
 
-static permit_wait_t *
-find_wait(const permit_exchange_t *exchange, uint64_t number)
+static pending_permit_t *
+find_pending(const permit_exchange_t *exchange, uint64_t number)
 {
-    permit_wait_t *wait = exchange->waits;
-    while (wait != NULL && wait->number != number)
-        wait = wait->next;
-    return wait;
+    pending_permit_t *pending = exchange->pending;
+    while (pending != NULL && pending->number != number)
+        pending = pending->next;
+    return pending;
 }
 
 void
 permit_exchange_on_answer(permit_exchange_t *exchange, const Iris__PermitAnswer *message)
 {
     notice_t notice;
-    permit_wait_t *wait = find_wait(exchange, message->number);
-    if (wait == NULL)
+    pending_permit_t *pending = find_pending(exchange, message->number);
+    if (pending == NULL)
         return;
-    /* An instance that stood still reads its answers before its timers run. */
-    const bool given =
-        message->given && now_of(exchange) - wait->asked_ms <= (uint64_t)PERMIT_LIFETIME_MS;
-    const permit_cb_t cb = wait->cb;
-    void *ctx = wait->ctx;
-    wait->backend->permits_unanswered = 0;
-    if (!given)
-        refuse(exchange, wait->backend, message->wait_ms);
-    drop_wait(wait);
-    if (message->notice != NULL && notice_message_read(message->notice, &notice, now_of(exchange)))
+    /* After a stall, answers are read before timers run, so a permit may have expired by now. */
+    const bool granted =
+        message->given && current_ms(exchange) - pending->requested_ms <= (uint64_t)PERMIT_LIFETIME_MS;
+    const permit_cb_t cb = pending->cb;
+    void *ctx = pending->ctx;
+    pending->backend->permits_unanswered = 0;
+    if (!granted)
+        defer_requests(exchange, pending->backend, message->wait_ms);
+    remove_pending(pending);
+    if (message->notice != NULL &&
+        notice_message_read(message->notice, &notice, current_ms(exchange)))
         catalog_take_notice(exchange->conf.catalog, &notice, NOTICE_OF_PERMIT);
-    cb(ctx, given);
+    cb(ctx, granted);
 }
 
 void
 permit_exchange_tick(permit_exchange_t *exchange)
 {
-    permits_expire(&exchange->permits, now_of(exchange));
+    permits_expire(&exchange->permits, current_ms(exchange));
 }
--- a/gateway/state/store_watch.c
+++ b/gateway/state/store_watch.c
@@ -123,7 +123,7 @@
 notice_outage(store_watch_t *watch, uint64_t now_ms)
 {
     const bool fails = store_watch_is_failing(watch);
-    if (watch->away || !members_store_is_away(watch->conf.members, name_str(&watch->instance),
+    if (watch->away || !members_store_is_down(watch->conf.members, name_str(&watch->instance),
                                               fails, answer_age_max_ms(watch, now_ms), now_ms))
         return;
     watch->away = true;
@@ -159,7 +159,7 @@
     const members_t *members = watch->conf.members;
     const uint64_t now_ms = loop_now(watch->conf.loop);
     const bool calls = watch->watching || watch->failures > 0;
-    if (members_store_fails_any(members, now_ms))
+    if (members_any_store_failure(members, now_ms))
         watch->failed_ms = now_ms;
     if (members_store_serves(members, answer_age_max_ms(watch, now_ms), now_ms))
         notice_return(watch, "peer");
@@ -206,7 +206,7 @@
     const uint64_t pause_ms = (uint64_t)RETRY_MIN_MS * watch->failures;
     if (is_needed_once(kind))
         return pause_ms < RETRY_MAX_MS ? pause_ms : RETRY_MAX_MS;
-    const size_t instances = members_living(watch->conf.members, watch->conf.region, now_ms);
+    const size_t instances = members_count_alive_in_region(watch->conf.members, watch->conf.region, now_ms);
     const uint64_t look_ms =
         store_schedule_probe_interval_ms(rank_of(watch, false, now_ms), instances);
     return store_watch_is_failing(watch) || pause_ms > look_ms ? look_ms : pause_ms;
