--- a/gateway/membership/account_report.c
+++ b/gateway/membership/account_report.c
@@ -69,7 +69,8 @@
         use->gate = (account_limiter_t){0};
         return;
     }
-    account_limiter_set_share(&use->gate, grant->limited, grant->share_per_s, account_sync_now(sync));
+    account_limiter_set_share(&use->gate, grant->limited, grant->share_per_s,
+                              account_sync_now(sync));
     use->told_owner = owner;
     use->room = grant->room;
     use->region_per_s = grant->region_per_s;
--- a/gateway/membership/permit_exchange.c
+++ b/gateway/membership/permit_exchange.c
@@ -305,8 +305,8 @@
     if (pending == NULL)
         return;
     /* After a stall, answers are read before timers run, so a permit may have expired by now. */
-    const bool granted =
-        message->given && current_ms(exchange) - pending->requested_ms <= (uint64_t)PERMIT_LIFETIME_MS;
+    const bool granted = message->given && current_ms(exchange) - pending->requested_ms <=
+                                               (uint64_t)PERMIT_LIFETIME_MS;
     const permit_cb_t cb = pending->cb;
     void *ctx = pending->ctx;
     pending->backend->permits_unanswered = 0;
--- a/gateway/state/store_watch.c
+++ b/gateway/state/store_watch.c
@@ -206,7 +206,8 @@
     const uint64_t pause_ms = (uint64_t)RETRY_MIN_MS * watch->failures;
     if (is_needed_once(kind))
         return pause_ms < RETRY_MAX_MS ? pause_ms : RETRY_MAX_MS;
-    const size_t instances = members_count_alive_in_region(watch->conf.members, watch->conf.region, now_ms);
+    const size_t instances =
+        members_count_alive_in_region(watch->conf.members, watch->conf.region, now_ms);
     const uint64_t look_ms =
         store_schedule_probe_interval_ms(rank_of(watch, false, now_ms), instances);
     return store_watch_is_failing(watch) || pause_ms > look_ms ? look_ms : pause_ms;
