--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -90,7 +90,7 @@
                     views->ages[kind].last_ms);
         counter_set(counter_get("irisstall_in_force_after_max_ms", kinds[kind],
                                 "The highest of these ages since the start."),
-                    views->ages[kind].most_ms);
+                    views->ages[kind].highest_ms);
     }
 }
 
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -189,7 +189,7 @@
         .region = gateway->router.region,
     };
     suspect_news_init(&gateway->suspect_news, &news_conf);
-    gateway->suspects.on_news = suspect_news_tell;
+    gateway->suspects.on_update = suspect_news_tell;
     gateway->suspects.ctx = &gateway->suspect_news;
     const heartbeat_conf_t heartbeat_conf = {
         .settings = settings,
--- a/gateway/gateway_news.c
+++ b/gateway/gateway_news.c
@@ -62,7 +62,7 @@
         deferred_ask(&gateway->config_work);
         break; /* in force in gateway_apply_config() */
     case VIEW_BACKENDS:
-        catalog_apply_backends(catalog, view, store_watch_trouble(&gateway->store_watch));
+        catalog_apply_backends(catalog, view, store_watch_outage_state(&gateway->store_watch));
         catalog_apply_closures(catalog, &gateway->views.items[VIEW_CLOSURES]);
         break;
     case VIEW_CLOSURES:
@@ -96,11 +96,11 @@
             continue;
         items[count].revision = departure->revision;
         items[count].gone = departure->gone;
-        items[count].told_ms = loop_now(gateway->loop);
+        items[count].learned_ms = loop_now(gateway->loop);
         count++;
     }
     catalog_apply_departures(&gateway->router.catalog, items, count,
-                             store_watch_trouble(&gateway->store_watch));
+                             store_watch_outage_state(&gateway->store_watch));
     free(items);
 }
 
--- a/gateway/inspect.c
+++ b/gateway/inspect.c
@@ -121,7 +121,7 @@
     for (view_kind_t kind = 0; kind < VIEW_WATCHED; kind++) {
         const view_age_t *age = &views->ages[kind];
         wire_text_printf(out, "%s: last change in force after %u ms, at most %u ms\n", kinds[kind],
-                         age->last_ms, age->most_ms);
+                         age->last_ms, age->highest_ms);
     }
 }
 
--- a/gateway/membership/discovery.c
+++ b/gateway/membership/discovery.c
@@ -30,7 +30,7 @@
 {
     const store_port_t *store = discovery->conf.store;
     store_calls_count(VIEW_INSTANCES, STORE_CALL_LIST,
-                      after.len > 0 ? STORE_FOR_PAGE : STORE_FOR_START);
+                      after.len > 0 ? STORE_REASON_NEXT_PAGE : STORE_REASON_START);
     store->list(store->ctx, VIEW_INSTANCES, after, on_instances, discovery);
 }
 
@@ -83,7 +83,7 @@
     const discovery_conf_t *conf = &discovery->conf;
     char address[ADDR_TEXT_MAX];
     addr_format(&conf->peer, address);
-    store_calls_count(VIEW_INSTANCES, STORE_CALL_ANNOUNCE, STORE_FOR_START);
+    store_calls_count(VIEW_INSTANCES, STORE_CALL_ANNOUNCE, STORE_REASON_START);
     conf->store->announce(conf->store->ctx, conf->instance, str_from(address), conf->hall,
                           on_announced, discovery);
 }
--- a/gateway/membership/heartbeat_message.c
+++ b/gateway/membership/heartbeat_message.c
@@ -218,12 +218,12 @@
     }
 }
 
-static view_reads_t
+static view_format_t
 read_reads(const Iris__GatewayHeartbeat *message)
 {
     if (message->reads_lists)
-        return VIEW_READS_LISTS;
-    return message->unpacks ? VIEW_READS_BODIES : VIEW_READS_PLAIN;
+        return VIEW_FORMAT_PACKED_LIST;
+    return message->unpacks ? VIEW_FORMAT_PACKED_BODIES : VIEW_FORMAT_PLAIN;
 }
 
 void
--- a/gateway/membership/members.h
+++ b/gateway/membership/members.h
@@ -16,7 +16,7 @@
 #include "gateway/policy/cold_start.h"
 #include "gateway/ports.h"
 #include "gateway/membership/topology.h"
-#include "gateway/state/view_reads.h"
+#include "gateway/state/view_format.h"
 
 enum {
     MEMBERS_MAX = 2048, /* above the fleet to design for (1,400 instances) */
@@ -71,7 +71,7 @@
     bool leaving;
     uint32_t store_age_ms;              /* since the store last answered it, or STORE_AGE_NONE */
     bool store_failing;                 /* the store fails it */
-    view_reads_t reads;                 /* how it takes changes of views */
+    view_format_t reads;                /* how it takes changes of views */
     bool announced;                     /* it says that the store has its entry */
     bool reads_suspects;                /* it takes messages of suspects */
     bool reads_accounts;                /* it takes messages of client accounts */
--- a/gateway/membership/suspect_message.c
+++ b/gateway/membership/suspect_message.c
@@ -9,11 +9,11 @@
     iris__suspect__init(&out->message);
     size_t count = 0;
     for (size_t i = 0; i < suspect->end_count; i++) {
-        if (!suspect->ends[i].sure)
+        if (!suspect->ends[i].confirmed)
             continue;
         iris__suspect_end__init(&out->ends[count]);
         out->ends[count].life = suspect->ends[i].life;
-        out->ends[count].under = suspect->ends[i].under;
+        out->ends[count].under = suspect->ends[i].member;
         out->ends[count].version = suspect->ends[i].version;
         out->ends[count].age_ms = message_age_ms(suspect->ends[i].at_ms, now_ms);
         out->end_list[count] = &out->ends[count];
@@ -41,10 +41,10 @@
     for (size_t i = 0; i < message->n_ends && out->end_count < SUSPECT_ENDS_MAX; i++)
         out->ends[out->end_count++] = (suspect_end_t){
             .life = message->ends[i]->life,
-            .under = message->ends[i]->under,
+            .member = message->ends[i]->under,
             .version = message->ends[i]->version,
             .at_ms = message_time_ms(message->ends[i]->age_ms, now_ms),
-            .sure = true,
+            .confirmed = true,
         };
     if (message->cleared != CLEARED_NOT) {
         out->cleared = message->cleared == CLEARED_LIFTED ? CLEARED_LIFTED : CLEARED_FINISHED;
--- a/gateway/membership/suspect_news.c
+++ b/gateway/membership/suspect_news.c
@@ -90,14 +90,14 @@
 static bool
 is_for_all(const suspect_t *suspect)
 {
-    return suspect->told_to_all || !quarantine_may_resend(suspect_lives(suspect));
+    return suspect->sent_to_all || !quarantine_may_resend(suspect_lives(suspect));
 }
 
 static bool
 has_untold(const suspects_t *suspects)
 {
     for (size_t i = 0; i < suspects->count; i++) {
-        if (suspects->items[i]->untold)
+        if (suspects->items[i]->unsent)
             return true;
     }
     return false;
@@ -115,11 +115,11 @@
     message.items = list;
     for (size_t i = 0; i < suspects->count; i++) {
         suspect_t *suspect = suspects->items[i];
-        if (!suspect->untold || is_for_all(suspect) != for_all)
+        if (!suspect->unsent || is_for_all(suspect) != for_all)
             continue;
-        suspect->untold = false;
-        suspect->told = true;
-        suspect->told_to_all |= for_all;
+        suspect->unsent = false;
+        suspect->sent = true;
+        suspect->sent_to_all |= for_all;
         suspect_message_t *item = &items[message.n_items];
         suspect_message_fill(item, suspect, now_ms);
         list[message.n_items++] = &item->message;
@@ -166,7 +166,7 @@
     suspect_message_read(message, &theirs, now_ms);
     const suspect_t *known = suspects_find(news->conf.suspects, theirs.fingerprint);
     const unsigned before = known != NULL ? suspect_lives(known) : 0;
-    suspects_join(news->conf.suspects, &theirs, now_ms);
+    suspects_merge(news->conf.suspects, &theirs, now_ms);
     known = suspects_find(news->conf.suspects, theirs.fingerprint);
     const unsigned lives = known != NULL ? suspect_lives(known) : 0;
     return !is_mesh(news) && lives > before && !quarantine_may_resend(lives) &&
@@ -180,7 +180,7 @@
     for (size_t i = 0; i < count; i++) {
         if (!join(news, items[i]))
             continue;
-        suspects_find(news->conf.suspects, items[i]->request)->untold = true;
+        suspects_find(news->conf.suspects, items[i]->request)->unsent = true;
         tell_on = true;
     }
     if (tell_on)
@@ -215,7 +215,7 @@
     for (size_t i = 0; i < suspects->count && count < most; i++) {
         const size_t index = ((size_t)round * most + i) % suspects->count;
         const suspect_t *suspect = suspects->items[index];
-        if (!suspect->told || (!is_mesh(news) && !is_for_all(suspect)))
+        if (!suspect->sent || (!is_mesh(news) && !is_for_all(suspect)))
             continue;
         suspect_message_fill(&out[count++], suspect, now_ms);
     }
--- a/gateway/path/dispatch.c
+++ b/gateway/path/dispatch.c
@@ -19,7 +19,7 @@
         .left_ms = ex->terms.has_deadline ? ex->terms.deadline_ms : given_up_in_ms,
         .lost_ms = ex->lost_ms,
         .version = ex->version,
-        .suspected = suspects_know(ex->owner->suspects, &ex->fingerprint),
+        .suspected = suspects_has_evidence(ex->owner->suspects, &ex->fingerprint),
         .may_ask = may_ask && ex->permits_refused < PERMITS_REFUSED_MAX,
         .tried = ex->tried,
         .tried_count = ex->tried_count,
@@ -184,8 +184,8 @@
 note_finished(const exchange_t *ex)
 {
     if (ex->attempt.status < HTTP_STATUS_INTERNAL_SERVER_ERROR)
-        suspects_finished(ex->owner->suspects, &ex->fingerprint,
-                          exchange_last_tried(ex)->info.version, exchange_now_ms(ex));
+        suspects_add_finished_run(ex->owner->suspects, &ex->fingerprint,
+                                  exchange_last_tried(ex)->info.version, exchange_now_ms(ex));
 }
 
 /* The connection of the last attempt was closed by the other side. The query is left out of the
--- a/gateway/path/end_check.c
+++ b/gateway/path/end_check.c
@@ -61,7 +61,7 @@
         count("outcome=\"ended\"");
         LOG_INFO("backend ended: id=%s requests=%zu", backend->info.id.ptr, requests);
     } else {
-        suspects_take_back(check->suspects, life);
+        suspects_retract(check->suspects, life);
         count(outcome == REACH_CONNECTED ? "outcome=\"lives\"" : "outcome=\"unknown\"");
     }
     backend_unref(backend);
--- a/gateway/state/departure_push.c
+++ b/gateway/state/departure_push.c
@@ -31,7 +31,8 @@
     envelope.body_case = IRIS__ENVELOPE__BODY_DEPARTURES;
     envelope.departures = message;
     for (size_t i = 0; i < receivers->count; i++) {
-        if (receivers->items[i].peer == NULL || receivers->items[i].reads < VIEW_READS_LISTS)
+        if (receivers->items[i].peer == NULL ||
+            receivers->items[i].format < VIEW_FORMAT_PACKED_LIST)
             continue;
         peer_send(hub, receivers->items[i].peer, &envelope);
         sent++;
--- a/gateway/state/departures.c
+++ b/gateway/state/departures.c
@@ -10,28 +10,28 @@
     ITEMS_START = 16,
     /* A view is behind its peers for some seconds at most, and a list from the store is as old as
      * the call for it, 15 s at most (platform/store.c). Chosen. */
-    KEPT_MS = 30000,
+    RETENTION_MS = 30000,
 };
 
 /* What is looked for among them. */
 typedef struct {
     const departures_t *departures;
     str_t backend;
-} wanted_t;
+} search_key_t;
 
 static bool
 is_below(const void *ctx, size_t index)
 {
-    const wanted_t *wanted = ctx;
-    return str_order(name_str(&wanted->departures->items[index].backend), wanted->backend) < 0;
+    const search_key_t *key = ctx;
+    return str_order(name_str(&key->departures->items[index].backend), key->backend) < 0;
 }
 
 /* Index of the first one whose id is not below `backend`. */
 static size_t
 lower_bound(const departures_t *departures, str_t backend)
 {
-    const wanted_t wanted = {departures, backend};
-    return search_lower_bound(departures->count, is_below, &wanted);
+    const search_key_t key = {departures, backend};
+    return search_lower_bound(departures->count, is_below, &key);
 }
 
 static bool
@@ -80,7 +80,7 @@
 {
     size_t kept = 0;
     for (size_t i = 0; i < departures->count; i++) {
-        if (now_ms - departures->items[i].told_ms <= KEPT_MS)
+        if (now_ms - departures->items[i].learned_ms <= RETENTION_MS)
             departures->items[kept++] = departures->items[i];
     }
     departures->count = kept;
--- a/gateway/state/departures.h
+++ b/gateway/state/departures.h
@@ -16,9 +16,9 @@
 
 typedef struct {
     name_t backend;
-    uint64_t revision; /* the store's, up to which it is known */
-    bool gone;         /* its entry went; else it says that it leaves */
-    uint64_t told_ms;  /* loop time at which it was learned here */
+    uint64_t revision;   /* the store's, up to which it is known */
+    bool gone;           /* its entry went; else it says that it leaves */
+    uint64_t learned_ms; /* loop time at which it was learned here */
 } departure_t;
 
 typedef struct {
--- a/gateway/state/receivers.c
+++ b/gateway/state/receivers.c
@@ -5,7 +5,7 @@
 #include "base/xmalloc.h"
 
 static int
-by_key(const void *left, const void *right)
+compare_keys(const void *left, const void *right)
 {
     const uint64_t a = ((const receiver_t *)left)->key;
     const uint64_t b = ((const receiver_t *)right)->key;
@@ -21,7 +21,7 @@
 }
 
 receivers_t
-receivers_of(const receivers_input_t *input, uint64_t at)
+receivers_select(const receivers_input_t *input, uint64_t at)
 {
     const members_t *members = input->members;
     receivers_t receivers = {.items = xcalloc(members->count + 1, sizeof(*receivers.items))};
@@ -35,20 +35,20 @@
             receivers.items[receivers.count++] =
                 (receiver_t){rank_key(name, at), &member->peer, member->reads};
     }
-    qsort(receivers.items, receivers.count, sizeof(*receivers.items), by_key);
-    while (receivers.items[receivers.own].peer != NULL)
-        receivers.own++;
+    qsort(receivers.items, receivers.count, sizeof(*receivers.items), compare_keys);
+    while (receivers.items[receivers.own_rank].peer != NULL)
+        receivers.own_rank++;
     return receivers;
 }
 
 bool
-receivers_read_lists(const receivers_input_t *input)
+receivers_accept_packed_lists(const receivers_input_t *input)
 {
     for (size_t i = 0; i < input->members->count; i++) {
         const member_t *member = &input->members->items[i];
         const bool is_self = name_eq(&member->instance, input->instance);
         if (!is_self && member_alive(member, input->now_ms) && member->region == input->region &&
-            member->reads < VIEW_READS_LISTS)
+            member->reads < VIEW_FORMAT_PACKED_LIST)
             return false;
     }
     return true;
--- a/gateway/state/receivers.h
+++ b/gateway/state/receivers.h
@@ -12,14 +12,14 @@
 
 typedef struct {
     uint64_t key;
-    const addr_t *peer; /* NULL for this instance */
-    view_reads_t reads; /* how it takes the change */
+    const addr_t *peer;   /* NULL for this instance */
+    view_format_t format; /* how it takes the change */
 } receiver_t;
 
 typedef struct {
     receiver_t *items; /* by rank */
     size_t count;
-    size_t own; /* rank of this instance */
+    size_t own_rank; /* rank of this instance */
 } receivers_t;
 
 typedef struct {
@@ -32,7 +32,7 @@
 
 /* The living instances that are to have the change up to revision `at`, in an order that is the
  * same on each of them but for instances that not all count as living. */
-receivers_t receivers_of(const receivers_input_t *input, uint64_t at);
+receivers_t receivers_select(const receivers_input_t *input, uint64_t at);
 /* True if all living instances of the region take lists. */
-bool receivers_read_lists(const receivers_input_t *input);
+bool receivers_accept_packed_lists(const receivers_input_t *input);
 void receivers_free(receivers_t *receivers);
--- a/gateway/state/store_calls.c
+++ b/gateway/state/store_calls.c
@@ -20,8 +20,9 @@
 };
 
 static const char *const reason_names[] = {
-    [STORE_FOR_START] = "start",     [STORE_FOR_PAGE] = "page", [STORE_FOR_CHANGES] = "changes",
-    [STORE_FOR_HISTORY] = "history", [STORE_FOR_PEER] = "peer", [STORE_FOR_RETURN] = "return",
+    [STORE_REASON_START] = "start",        [STORE_REASON_NEXT_PAGE] = "page",
+    [STORE_REASON_CHANGES] = "changes",    [STORE_REASON_HISTORY_GONE] = "history",
+    [STORE_REASON_PEER_REFERRAL] = "peer", [STORE_REASON_RECOVERY_PROBE] = "return",
 };
 
 void
--- a/gateway/state/store_watch.c
+++ b/gateway/state/store_watch.c
@@ -14,21 +14,21 @@
     /* A watch rests this long at most. Shorter ones cost more calls; 1 s was ruled out since
      * silence would still be noticed too late (commit cdee74c). */
     WATCH_WAIT_MS = 3000,
-    WATCH_WAIT_FAILING_MS = 20, /* an answer at once: is the store back? Chosen (commit ce9d245) */
-    RETRY_MIN_MS = 200,         /* one tick; the pause grows by this much with each failure */
-    RETRY_MAX_MS = 1000,        /* of one that needs a view. Chosen, not measured */
+    WATCH_WAIT_PROBE_MS = 20, /* an answer at once: is the store back? Chosen (commit ce9d245) */
+    RETRY_MIN_MS = 200,       /* one tick; the pause grows by this much with each failure */
+    RETRY_MAX_MS = 1000,      /* of one that needs a view. Chosen, not measured */
     /* While the store fails, one call tells whether it is back, and another follows if it has not
      * ended after this time: a large answer on a small link would hold up the removal of a backend
      * server. Above the time that a failing watch has. Chosen, not measured. */
-    PROBE_MS = 1000,
-    FAILURES_FAILING = 2, /* in a row, after which the store fails this instance. Chosen */
+    PROBE_INTERVAL_MS = 1000,
+    FAILING_THRESHOLD = 2, /* in a row, after which the store fails this instance. Chosen */
     /* An instance that had to watch goes on for this time, so that instances do not take turns in
      * fifths of a second (commit 35bcf57). */
     FALLBACK_MS = 3000,
     /* A watch that is answered sooner found changes that were there already: the way to the store
      * and back takes some milliseconds, 70 between regions. Chosen. */
-    AT_ONCE_MS = 100,
-    KEY_SEED = 61, /* any number */
+    IMMEDIATE_ANSWER_MS = 100,
+    START_DELAY_SEED = 61, /* any number */
 };
 
 void
@@ -53,7 +53,7 @@
 }
 
 static view_t *
-view_of(const kind_watch_t *kind)
+watched_view(const kind_watch_t *kind)
 {
     return &kind->owner->conf.views->items[kind->kind];
 }
@@ -68,7 +68,7 @@
 }
 
 static bool
-peers_watch(const store_watch_t *watch, uint64_t now_ms)
+region_has_watcher(const store_watch_t *watch, uint64_t now_ms)
 {
     const uint32_t age_max_ms =
         members_store_age_max_ms(watch->conf.members, watch->conf.region, now_ms);
@@ -77,18 +77,18 @@
 
 /* A started instance leaves the store to its peers for some time. */
 static bool
-has_waited(const store_watch_t *watch, uint64_t now_ms)
+is_start_delay_over(const store_watch_t *watch, uint64_t now_ms)
 {
-    const uint64_t key = str_hash(name_str(&watch->instance), KEY_SEED);
+    const uint64_t key = str_hash(name_str(&watch->instance), START_DELAY_SEED);
     return now_ms - watch->started_ms >= store_turns_start_ms(key, watch->conf.is_seed);
 }
 
 /* True if no instance of the region watches the store, as far as is known here, and it is this
  * one's turn to. */
 static bool
-takes_over(store_watch_t *watch, uint64_t now_ms)
+should_take_over(store_watch_t *watch, uint64_t now_ms)
 {
-    if (peers_watch(watch, now_ms)) {
+    if (region_has_watcher(watch, now_ms)) {
         watch->unwatched_ms = 0;
         return false;
     }
@@ -101,11 +101,11 @@
 should_watch(store_watch_t *watch)
 {
     const uint64_t now_ms = loop_now(watch->conf.loop);
-    if (watch->stopped || !has_waited(watch, now_ms))
+    if (watch->stopped || !is_start_delay_over(watch, now_ms))
         return false;
     if (store_turns_watches(rank_of(watch, true, now_ms)))
         return true;
-    if (takes_over(watch, now_ms)) {
+    if (should_take_over(watch, now_ms)) {
         watch->fallback_until_ms = now_ms + FALLBACK_MS;
         watch->failed_ms = now_ms;
     }
@@ -120,58 +120,58 @@
 
 /* Only if it fails everybody is the store away, and entries may lapse. */
 static void
-notice_outage(store_watch_t *watch, uint64_t now_ms)
+detect_outage(store_watch_t *watch, uint64_t now_ms)
 {
     const bool fails = store_watch_is_failing(watch);
-    if (watch->away || !members_store_is_away(watch->conf.members, name_str(&watch->instance),
-                                              fails, answer_age_max_ms(watch, now_ms), now_ms))
+    if (watch->in_outage || !members_store_is_away(watch->conf.members, name_str(&watch->instance),
+                                                   fails, answer_age_max_ms(watch, now_ms), now_ms))
         return;
-    watch->away = true;
-    watch->away_ms = now_ms;
+    watch->in_outage = true;
+    watch->outage_ms = now_ms;
     LOG_WARN("store away for all: failures=%u", watch->failures);
 }
 
 /* A call of this instance has failed. One that hung over the first sign of the store's return says
  * nothing of the time after that. */
 static void
-notice_failure(store_watch_t *watch, const kind_watch_t *failed, uint64_t now_ms)
+record_failure(store_watch_t *watch, const kind_watch_t *failed, uint64_t now_ms)
 {
     watch->failed_ms = now_ms;
-    if (failed->called_ms >= watch->returned_ms && store_watch_is_failing(watch))
-        notice_outage(watch, now_ms);
+    if (failed->called_ms >= watch->recovered_ms && store_watch_is_failing(watch))
+        detect_outage(watch, now_ms);
 }
 
 /* The first sign ends it: an answer here, a peer that the store serves, a change that one tells. */
 static void
-notice_return(store_watch_t *watch, const char *sign)
+end_outage(store_watch_t *watch, const char *sign)
 {
-    if (!watch->away)
+    if (!watch->in_outage)
         return;
-    watch->away = false;
-    watch->returned_ms = loop_now(watch->conf.loop);
+    watch->in_outage = false;
+    watch->recovered_ms = loop_now(watch->conf.loop);
     LOG_INFO("store back: sign=%s", sign);
 }
 
 /* What other instances say of the store. */
 static void
-notice_peers(store_watch_t *watch)
+update_from_peers(store_watch_t *watch)
 {
     const members_t *members = watch->conf.members;
     const uint64_t now_ms = loop_now(watch->conf.loop);
-    const bool calls = watch->watching || watch->failures > 0;
+    const bool calls_store = watch->watching || watch->failures > 0;
     if (members_store_fails_any(members, now_ms))
         watch->failed_ms = now_ms;
     if (members_store_serves(members, answer_age_max_ms(watch, now_ms), now_ms))
-        notice_return(watch, "peer");
-    else if (!calls)
-        notice_outage(watch, now_ms);
+        end_outage(watch, "peer");
+    else if (!calls_store)
+        detect_outage(watch, now_ms);
 }
 
 /* A call that was begun before the outage was noticed and is answered: only others failed. */
 static void
-withdraw_outage(store_watch_t *watch)
+cancel_outage(store_watch_t *watch)
 {
-    watch->away = false;
+    watch->in_outage = false;
     LOG_INFO("store not away: failures=%u", watch->failures);
 }
 
@@ -180,9 +180,9 @@
 {
     store_watch_t *watch = kind->owner;
     kind->answered_ms = loop_now(watch->conf.loop);
-    if (watch->away && kind->called_ms < watch->away_ms)
-        withdraw_outage(watch);
-    notice_return(watch, "answer");
+    if (watch->in_outage && kind->called_ms < watch->outage_ms)
+        cancel_outage(watch);
+    end_outage(watch, "answer");
     if (watch->failures > 0)
         LOG_INFO("store regained: failures=%u", watch->failures);
     watch->failures = 0;
@@ -191,11 +191,11 @@
 
 /* A started instance reads each kind that peers have not brought, whoever watches. */
 static bool
-is_needed_once(const kind_watch_t *kind)
+needs_single_list(const kind_watch_t *kind)
 {
     const store_watch_t *watch = kind->owner;
     return kind->read_once ||
-           (!view_of(kind)->known && has_waited(watch, loop_now(watch->conf.loop)));
+           (!watched_view(kind)->known && is_start_delay_over(watch, loop_now(watch->conf.loop)));
 }
 
 static uint64_t
@@ -204,11 +204,11 @@
     const store_watch_t *watch = kind->owner;
     const uint64_t now_ms = loop_now(watch->conf.loop);
     const uint64_t pause_ms = (uint64_t)RETRY_MIN_MS * watch->failures;
-    if (is_needed_once(kind))
+    if (needs_single_list(kind))
         return pause_ms < RETRY_MAX_MS ? pause_ms : RETRY_MAX_MS;
     const size_t instances = members_living(watch->conf.members, watch->conf.region, now_ms);
-    const uint64_t look_ms = store_turns_look_ms(rank_of(watch, false, now_ms), instances);
-    return store_watch_is_failing(watch) || pause_ms > look_ms ? look_ms : pause_ms;
+    const uint64_t probe_pause_ms = store_turns_look_ms(rank_of(watch, false, now_ms), instances);
+    return store_watch_is_failing(watch) || pause_ms > probe_pause_ms ? probe_pause_ms : pause_ms;
 }
 
 static void
@@ -219,11 +219,11 @@
     if (watch->failures++ == 0) {
         LOG_WARN("store lost: kind=%d outcome=%d detail=\"%s\"", kind->kind, answer->outcome,
                  answer->err.detail);
-        watch->probed = VIEW_CONFIG; /* it is asked for last: its answer may be the largest */
+        watch->last_probed = VIEW_CONFIG; /* it is asked for last: its answer may be the largest */
     }
-    notice_failure(watch, kind, now_ms);
+    record_failure(watch, kind, now_ms);
     kind->retry_at_ms = now_ms + retry_pause_ms(kind);
-    if (kind->kind == watch->probed)
+    if (kind->kind == watch->last_probed)
         watch->probe_at_ms = kind->retry_at_ms;
 }
 
@@ -243,7 +243,7 @@
 
 /* Copies the answer's items behind those of the earlier pages. */
 static void
-keep_page(kind_watch_t *kind, const store_answer_t *answer)
+append_page(kind_watch_t *kind, const store_answer_t *answer)
 {
     const size_t total = kind->page_count + answer->item_count;
     kind->pages = xrealloc(kind->pages, (total + 1) * sizeof(*kind->pages));
@@ -261,17 +261,17 @@
 list_reason(const kind_watch_t *kind)
 {
     if (kind->page_count > 0)
-        return STORE_FOR_PAGE;
+        return STORE_REASON_NEXT_PAGE;
     if (kind->owner->failures > 0)
-        return STORE_FOR_RETURN;
-    if (!view_of(kind)->known)
-        return STORE_FOR_START;
-    return kind->list_needed ? STORE_FOR_HISTORY : STORE_FOR_PEER;
+        return STORE_REASON_RECOVERY_PROBE;
+    if (!watched_view(kind)->known)
+        return STORE_REASON_START;
+    return kind->list_needed ? STORE_REASON_HISTORY_GONE : STORE_REASON_PEER_REFERRAL;
 }
 
 /* The view has changed: it is applied here first, then sent on. */
 static void
-tell_change(kind_watch_t *kind, const view_delta_t *delta, const char *source, uint64_t age_ms)
+publish_change(kind_watch_t *kind, const view_delta_t *delta, const char *source, uint64_t age_ms)
 {
     const store_watch_t *watch = kind->owner;
     views_changed(watch->conf.views, kind->kind, source, age_ms, loop_now(watch->conf.loop));
@@ -281,10 +281,10 @@
 /* The pages hold the whole list. What changed since the view was current is sent on, as after a
  * watch: after an outage all of a region would read the list otherwise. */
 static void
-take_list(kind_watch_t *kind)
+apply_list(kind_watch_t *kind)
 {
     store_watch_t *watch = kind->owner;
-    view_t *view = view_of(kind);
+    view_t *view = watched_view(kind);
     const bool was_known = view->known;
     const view_delta_t delta = {
         .kind = kind->kind,
@@ -298,7 +298,7 @@
     kind->read_once = false;
     kind->current_ms = kind->called_ms;
     if (result == VIEW_CHANGED && was_known)
-        tell_change(kind, &delta, "list", age_ms);
+        publish_change(kind, &delta, "list", age_ms);
     else if (result == VIEW_CHANGED)
         views_changed(watch->conf.views, kind->kind, "list", VIEW_AGE_MAX_MS + 1,
                       loop_now(watch->conf.loop));
@@ -330,12 +330,12 @@
     on_store_answered(kind);
     if (kind->page_count == 0)
         kind->list_at = answer->at;
-    keep_page(kind, answer);
+    append_page(kind, answer);
     if (answer->more && answer->item_count > 0) {
         list_after(kind, kind->pages[kind->page_count - 1].name);
         return;
     }
-    take_list(kind);
+    apply_list(kind);
     store_watch_tick(watch);
 }
 
@@ -347,14 +347,14 @@
 changes_age_ms(const kind_watch_t *kind)
 {
     const uint64_t now_ms = loop_now(kind->owner->conf.loop);
-    const bool rested = now_ms - kind->called_ms > AT_ONCE_MS;
-    return now_ms - (rested ? now_ms : kind->current_ms);
+    const bool was_waiting = now_ms - kind->called_ms > IMMEDIATE_ANSWER_MS;
+    return now_ms - (was_waiting ? now_ms : kind->current_ms);
 }
 
 static void
 apply_delta(kind_watch_t *kind, const store_answer_t *answer)
 {
-    view_t *view = view_of(kind);
+    view_t *view = watched_view(kind);
     const view_delta_t delta = {
         .kind = kind->kind,
         .from = kind->watched_from,
@@ -363,7 +363,7 @@
     const uint64_t age_ms = changes_age_ms(kind);
     kind->current_ms = loop_now(kind->owner->conf.loop);
     if (view_apply(view, answer->items, answer->item_count, delta.from, answer->at) == VIEW_CHANGED)
-        tell_change(kind, &delta, "watch", age_ms);
+        publish_change(kind, &delta, "watch", age_ms);
 }
 
 /* The next watch starts some time later, so that changes in quick succession come together. */
@@ -397,16 +397,17 @@
 {
     const store_watch_t *watch = kind->owner;
     const store_port_t *store = watch->conf.store;
-    if (kind->list_needed || kind->read_once || !view_of(kind)->known) {
+    if (kind->list_needed || kind->read_once || !watched_view(kind)->known) {
         list_after(kind, STR(""));
         return;
     }
     kind->state = WATCH_WATCHING;
     kind->called_ms = loop_now(watch->conf.loop);
-    kind->watched_from = view_of(kind)->at;
+    kind->watched_from = watched_view(kind)->at;
     const bool fails = watch->failures > 0;
-    const uint32_t wait_ms = fails ? WATCH_WAIT_FAILING_MS : WATCH_WAIT_MS;
-    store_calls_count(kind->kind, STORE_CALL_WATCH, fails ? STORE_FOR_RETURN : STORE_FOR_CHANGES);
+    const uint32_t wait_ms = fails ? WATCH_WAIT_PROBE_MS : WATCH_WAIT_MS;
+    store_calls_count(kind->kind, STORE_CALL_WATCH,
+                      fails ? STORE_REASON_RECOVERY_PROBE : STORE_REASON_CHANGES);
     store->watch(store->ctx, kind->kind, kind->watched_from, wait_ms, on_watch, kind);
 }
 
@@ -414,9 +415,9 @@
 is_due(const kind_watch_t *kind)
 {
     const store_watch_t *watch = kind->owner;
-    const bool looks_again = watch->failures > 0;
-    const bool asked_for = is_needed_once(kind) || looks_again;
-    const bool wanted = watch->watching || (asked_for && !watch->stopped);
+    const bool is_retrying = watch->failures > 0;
+    const bool is_requested = needs_single_list(kind) || is_retrying;
+    const bool wanted = watch->watching || (is_requested && !watch->stopped);
     return wanted && kind->state == WATCH_IDLE && loop_now(watch->conf.loop) >= kind->retry_at_ms;
 }
 
@@ -428,11 +429,11 @@
     if (now_ms < watch->probe_at_ms)
         return;
     for (unsigned i = 1; i <= VIEW_WATCHED; i++) {
-        const view_kind_t next = (watch->probed + i) % VIEW_WATCHED;
+        const view_kind_t next = (watch->last_probed + i) % VIEW_WATCHED;
         if (!is_due(&watch->kinds[next]))
             continue;
-        watch->probed = next;
-        watch->probe_at_ms = now_ms + PROBE_MS;
+        watch->last_probed = next;
+        watch->probe_at_ms = now_ms + PROBE_INTERVAL_MS;
         call_store(&watch->kinds[next]);
         return;
     }
@@ -445,7 +446,7 @@
     if (watching != watch->watching)
         LOG_INFO("%s the store", watching ? "watching" : "no longer watching");
     watch->watching = watching;
-    notice_peers(watch);
+    update_from_peers(watch);
     if (watch->failures > 0) {
         probe(watch);
         return;
@@ -474,28 +475,28 @@
 }
 
 static uint64_t
-since(const store_watch_t *watch, uint64_t moment_ms)
+elapsed_ms(const store_watch_t *watch, uint64_t then_ms)
 {
-    return moment_ms > 0 ? loop_now(watch->conf.loop) - moment_ms : REMOVAL_NEVER;
+    return then_ms > 0 ? loop_now(watch->conf.loop) - then_ms : REMOVAL_NEVER;
 }
 
 bool
 store_watch_is_failing(const store_watch_t *watch)
 {
-    return watch->failures >= FAILURES_FAILING;
+    return watch->failures >= FAILING_THRESHOLD;
 }
 
 void
 store_watch_view_changed(store_watch_t *watch)
 {
-    notice_return(watch, "change");
+    end_outage(watch, "change");
 }
 
 removal_store_t
-store_watch_trouble(const store_watch_t *watch)
+store_watch_outage_state(const store_watch_t *watch)
 {
     return (removal_store_t){
-        .since_return_ms = watch->away ? 0 : since(watch, watch->returned_ms),
-        .since_failure_ms = since(watch, watch->failed_ms),
+        .since_return_ms = watch->in_outage ? 0 : elapsed_ms(watch, watch->recovered_ms),
+        .since_failure_ms = elapsed_ms(watch, watch->failed_ms),
     };
 }
--- a/gateway/state/store_watch.h
+++ b/gateway/state/store_watch.h
@@ -65,11 +65,11 @@
     name_t instance;
     kind_watch_t kinds[VIEW_WATCHED];
     unsigned failures;          /* calls in a row */
-    bool away;                  /* the store fails all instances, as far as is known here */
-    uint64_t away_ms;           /* loop time at which that was noticed */
+    bool in_outage;             /* the store fails all instances, as far as is known here */
+    uint64_t outage_ms;         /* loop time at which that was noticed */
     uint64_t failed_ms;         /* loop time at which it last failed any instance, or 0 */
-    uint64_t returned_ms;       /* loop time of its return from that, 0 before the first */
-    view_kind_t probed;         /* kind that was asked for last while the store failed */
+    uint64_t recovered_ms;      /* loop time of its return from that, 0 before the first */
+    view_kind_t last_probed;    /* kind that was asked for last while the store failed */
     uint64_t probe_at_ms;       /* loop time before which no other kind is asked for then */
     uint64_t fallback_until_ms; /* until then it watches because no peer seemed to */
     uint64_t unwatched_ms;      /* since when no peer seems to, 0 if one does */
@@ -90,6 +90,6 @@
 /* A view has changed, here or by a peer: the store answers somebody. */
 void store_watch_view_changed(store_watch_t *watch);
 /* What this instance knows of the store's trouble. */
-removal_store_t store_watch_trouble(const store_watch_t *watch);
+removal_store_t store_watch_outage_state(const store_watch_t *watch);
 /* No further calls to the store. */
 void store_watch_stop(store_watch_t *watch);
--- a/gateway/state/suspect.c
+++ b/gateway/state/suspect.c
@@ -14,7 +14,7 @@
 }
 
 bool
-suspect_repeats(const suspect_t *suspect, size_t index)
+suspect_is_repeated_life(const suspect_t *suspect, size_t index)
 {
     for (size_t i = 0; i < index; i++) {
         if (suspect->ends[i].life == suspect->ends[index].life)
@@ -24,11 +24,12 @@
 }
 
 static unsigned
-count_lives(const suspect_t *suspect, bool sure_only)
+count_lives(const suspect_t *suspect, bool confirmed_only)
 {
     unsigned count = 0;
     for (size_t i = 0; i < suspect->end_count; i++)
-        count += (suspect->ends[i].sure || !sure_only) && !suspect_repeats(suspect, i);
+        count += (suspect->ends[i].confirmed || !confirmed_only) &&
+                 !suspect_is_repeated_life(suspect, i);
     return count;
 }
 
@@ -39,11 +40,11 @@
 }
 
 static unsigned
-lives_under(const suspect_t *family, uint64_t member)
+member_lives(const suspect_t *family, uint64_t member)
 {
     unsigned count = 0;
     for (size_t i = 0; i < family->end_count; i++)
-        count += family->ends[i].under == member;
+        count += family->ends[i].member == member;
     return count;
 }
 
@@ -52,14 +53,14 @@
 {
     const unsigned lives = suspect_lives(suspect);
     for (size_t i = 0; suspect->is_family && i < suspect->end_count; i++) {
-        if (lives_under(suspect, suspect->ends[i].under) == lives)
+        if (member_lives(suspect, suspect->ends[i].member) == lives)
             return 0;
     }
     return lives;
 }
 
 unsigned
-suspect_sure_ends(const suspect_t *suspect)
+suspect_confirmed_ends(const suspect_t *suspect)
 {
     return suspect_ends(suspect) > 0 ? count_lives(suspect, true) : 0;
 }
@@ -86,7 +87,7 @@
 
 /* True if there is an end under `suspect` that was none under `other`. */
 static bool
-has_more_than(const suspect_t *suspect, const suspect_t *other)
+has_unshared_end(const suspect_t *suspect, const suspect_t *other)
 {
     for (size_t i = 0; i < suspect->end_count; i++) {
         if (!has_life(other, suspect->ends[i].life))
@@ -97,20 +98,20 @@
 
 /* True for a family and its member. */
 static bool
-are_related(const suspect_t *a, const suspect_t *b)
+is_family_with_member(const suspect_t *a, const suspect_t *b)
 {
-    return (a->is_family && lives_under(a, b->fingerprint) > 0) ||
-           (b->is_family && lives_under(b, a->fingerprint) > 0);
+    return (a->is_family && member_lives(a, b->fingerprint) > 0) ||
+           (b->is_family && member_lives(b, a->fingerprint) > 0);
 }
 
 bool
 suspect_is_explained_by(const suspect_t *suspect, const suspect_t *other, uint64_t life)
 {
-    if (other == suspect || !has_life(other, life) || are_related(suspect, other))
+    if (other == suspect || !has_life(other, life) || is_family_with_member(suspect, other))
         return false;
     const unsigned ends = suspect_ends(suspect);
     const unsigned others = suspect_ends(other);
-    return others > ends || (others == ends && has_more_than(other, suspect));
+    return others > ends || (others == ends && has_unshared_end(other, suspect));
 }
 
 /* ---- what is added ---- */
@@ -129,10 +130,10 @@
 }
 
 static suspect_end_t *
-find_end(suspect_t *suspect, uint64_t life, uint64_t under)
+find_end(suspect_t *suspect, uint64_t life, uint64_t member)
 {
     for (size_t i = 0; i < suspect->end_count; i++) {
-        if (suspect->ends[i].life == life && suspect->ends[i].under == under)
+        if (suspect->ends[i].life == life && suspect->ends[i].member == member)
             return &suspect->ends[i];
     }
     return NULL;
@@ -141,7 +142,7 @@
 void
 suspect_add_end(suspect_t *suspect, const suspect_end_t *end)
 {
-    if (end->at_ms <= suspect->cleared_ms || find_end(suspect, end->life, end->under) != NULL)
+    if (end->at_ms <= suspect->cleared_ms || find_end(suspect, end->life, end->member) != NULL)
         return;
     if (suspect->good_version != 0 && end->version == suspect->good_version) {
         if (end->at_ms <= suspect->good_ms)
@@ -163,22 +164,22 @@
 bool
 suspect_confirm(suspect_t *suspect, uint64_t life)
 {
-    bool news = false;
+    bool changed = false;
     for (size_t i = 0; i < suspect->end_count; i++) {
         suspect_end_t *end = &suspect->ends[i];
         if (end->life != life)
             continue;
-        news |= !end->sure;
-        end->sure = true;
+        changed |= !end->confirmed;
+        end->confirmed = true;
     }
-    return news;
+    return changed;
 }
 
 void
-suspect_take_back(suspect_t *suspect, uint64_t life)
+suspect_retract(suspect_t *suspect, uint64_t life)
 {
     for (size_t i = suspect->end_count; i-- > 0;) {
-        if (suspect->ends[i].life == life && !suspect->ends[i].sure)
+        if (suspect->ends[i].life == life && !suspect->ends[i].confirmed)
             suspect->ends[i] = suspect->ends[--suspect->end_count];
     }
 }
@@ -201,7 +202,7 @@
 
 /* Forgets the ends of the version that finished a run. */
 static void
-drop_good(suspect_t *suspect)
+drop_good_version_ends(suspect_t *suspect)
 {
     size_t kept = 0;
     for (size_t i = 0; i < suspect->end_count; i++) {
@@ -213,7 +214,7 @@
 }
 
 bool
-suspect_finish(suspect_t *suspect, uint64_t version, uint64_t at_ms)
+suspect_add_finished_run(suspect_t *suspect, uint64_t version, uint64_t at_ms)
 {
     bool others = false;
     for (size_t i = 0; i < suspect->end_count; i++)
@@ -225,12 +226,12 @@
     suspect->good_version = version;
     suspect->good_ms = at_ms;
     suspect->trial_until_ms = 0;
-    drop_good(suspect);
+    drop_good_version_ends(suspect);
     return false;
 }
 
 void
-suspect_join(suspect_t *suspect, const suspect_t *theirs)
+suspect_merge(suspect_t *suspect, const suspect_t *theirs)
 {
     suspect->is_family = theirs->is_family;
     suspect_set_text(suspect, str_from(theirs->text));
@@ -240,12 +241,12 @@
         suspect->good_version = theirs->good_version;
         suspect->good_ms = theirs->good_ms;
         suspect->trial_until_ms = 0;
-        drop_good(suspect);
+        drop_good_version_ends(suspect);
     }
     for (size_t i = 0; i < theirs->end_count; i++) {
-        suspect_end_t *known = find_end(suspect, theirs->ends[i].life, theirs->ends[i].under);
+        suspect_end_t *known = find_end(suspect, theirs->ends[i].life, theirs->ends[i].member);
         if (known != NULL)
-            known->sure |= theirs->ends[i].sure;
+            known->confirmed |= theirs->ends[i].confirmed;
         else
             suspect_add_end(suspect, &theirs->ends[i]);
     }
--- a/gateway/state/suspects.c
+++ b/gateway/state/suspects.c
@@ -11,10 +11,10 @@
     ITEMS_START = 16,
     /* After a request's last end, or its term if that is later. A caller that repeats an unsafe one
      * every few minutes is caught; chosen. */
-    FORGET_MS = 600000,
+    RETENTION_MS = 600000,
     /* News of a clearing is kept as long as an instance may be cut off and come back with evidence
      * from before. Chosen. */
-    CLEARED_KEEP_MS = 120000,
+    CLEARED_RETENTION_MS = 120000,
 };
 
 /* ---- the table ---- */
@@ -23,20 +23,20 @@
 typedef struct {
     const suspects_t *suspects;
     uint64_t fingerprint;
-} wanted_t;
+} search_key_t;
 
 static bool
 is_below(const void *ctx, size_t index)
 {
-    const wanted_t *wanted = ctx;
-    return wanted->suspects->items[index]->fingerprint < wanted->fingerprint;
+    const search_key_t *key = ctx;
+    return key->suspects->items[index]->fingerprint < key->fingerprint;
 }
 
 static size_t
 lower_bound(const suspects_t *suspects, uint64_t fingerprint)
 {
-    const wanted_t wanted = {suspects, fingerprint};
-    return search_lower_bound(suspects->count, is_below, &wanted);
+    const search_key_t key = {suspects, fingerprint};
+    return search_lower_bound(suspects->count, is_below, &key);
 }
 
 suspect_t *
@@ -59,7 +59,7 @@
 
 /* Index of the suspect that is given up for a new one. */
 static size_t
-least(const suspects_t *suspects)
+eviction_candidate(const suspects_t *suspects)
 {
     size_t index = 0;
     for (size_t i = 1; i < suspects->count; i++) {
@@ -79,7 +79,7 @@
     if (suspect != NULL)
         return suspect;
     if (suspects->count == SUSPECTS_MAX)
-        remove_at(suspects, least(suspects));
+        remove_at(suspects, eviction_candidate(suspects));
     if (suspects->count == suspects->size) {
         suspects->size = suspects->size > 0 ? suspects->size * 2 : ITEMS_START;
         suspects->items = xrealloc(suspects->items, suspects->size * sizeof(suspects->items[0]));
@@ -120,8 +120,8 @@
 {
     unsigned count = 0;
     for (size_t i = 0; i < suspect->end_count; i++)
-        count +=
-            !suspect_repeats(suspect, i) && !is_explained(suspects, suspect, suspect->ends[i].life);
+        count += !suspect_is_repeated_life(suspect, i) &&
+                 !is_explained(suspects, suspect, suspect->ends[i].life);
     return count;
 }
 
@@ -148,18 +148,18 @@
     return decide(suspects, suspect, 0, now_ms);
 }
 
-enum { KNOWN_COUNT = 2 };
+enum { MATCHES_COUNT = 2 };
 
 /* What is known of the request and of its family; NULL each if nothing is. */
 typedef struct {
-    suspect_t *items[KNOWN_COUNT];
-} known_t;
+    suspect_t *items[MATCHES_COUNT];
+} matches_t;
 
-static known_t
-find_known(const suspects_t *suspects, const fingerprint_t *fingerprint)
+static matches_t
+find_matches(const suspects_t *suspects, const fingerprint_t *fingerprint)
 {
-    return (known_t){{suspects_find(suspects, fingerprint->request),
-                      suspects_find(suspects, fingerprint->family)}};
+    return (matches_t){{suspects_find(suspects, fingerprint->request),
+                        suspects_find(suspects, fingerprint->family)}};
 }
 
 quarantine_t
@@ -172,12 +172,12 @@
 suspects_decide_version(const suspects_t *suspects, const fingerprint_t *fingerprint,
                         uint64_t version, uint64_t now_ms)
 {
-    const known_t known = find_known(suspects, fingerprint);
+    const matches_t matches = find_matches(suspects, fingerprint);
     quarantine_t strictest = {.verdict = QUARANTINE_FREE};
-    for (size_t i = 0; i < KNOWN_COUNT; i++) {
-        if (known.items[i] == NULL)
+    for (size_t i = 0; i < MATCHES_COUNT; i++) {
+        if (matches.items[i] == NULL)
             continue;
-        const quarantine_t quarantine = decide(suspects, known.items[i], version, now_ms);
+        const quarantine_t quarantine = decide(suspects, matches.items[i], version, now_ms);
         if (quarantine.verdict > strictest.verdict || quarantine.held_ms > strictest.held_ms)
             strictest = quarantine;
     }
@@ -187,21 +187,21 @@
 unsigned
 suspects_ends(const suspects_t *suspects, const fingerprint_t *fingerprint)
 {
-    const known_t known = find_known(suspects, fingerprint);
+    const matches_t matches = find_matches(suspects, fingerprint);
     unsigned most = 0;
-    for (size_t i = 0; i < KNOWN_COUNT; i++) {
-        const unsigned ends = known.items[i] != NULL ? suspect_ends(known.items[i]) : 0;
+    for (size_t i = 0; i < MATCHES_COUNT; i++) {
+        const unsigned ends = matches.items[i] != NULL ? suspect_ends(matches.items[i]) : 0;
         most = ends > most ? ends : most;
     }
     return most;
 }
 
 bool
-suspects_know(const suspects_t *suspects, const fingerprint_t *fingerprint)
+suspects_has_evidence(const suspects_t *suspects, const fingerprint_t *fingerprint)
 {
-    const known_t known = find_known(suspects, fingerprint);
-    for (size_t i = 0; i < KNOWN_COUNT; i++) {
-        if (known.items[i] != NULL && known.items[i]->end_count > 0)
+    const matches_t matches = find_matches(suspects, fingerprint);
+    for (size_t i = 0; i < MATCHES_COUNT; i++) {
+        if (matches.items[i] != NULL && matches.items[i]->end_count > 0)
             return true;
     }
     return false;
@@ -222,7 +222,7 @@
 static void
 log_verdict(const suspects_t *suspects, suspect_t *suspect, uint64_t now_ms)
 {
-    const unsigned ends = suspect_sure_ends(suspect);
+    const unsigned ends = suspect_confirmed_ends(suspect);
     if (ends <= suspect->logged_ends || quarantine_may_resend(ends) ||
         own_ends(suspects, suspect) == 0)
         return;
@@ -231,10 +231,10 @@
 }
 
 static void
-note_news(suspects_t *suspects)
+notify_update(suspects_t *suspects)
 {
-    if (suspects->on_news != NULL)
-        suspects->on_news(suspects->ctx);
+    if (suspects->on_update != NULL)
+        suspects->on_update(suspects->ctx);
 }
 
 static void
@@ -253,7 +253,7 @@
 {
     suspect_end_t end = {.life = life, .version = version, .at_ms = now_ms};
     add_end(suspects, fingerprint->request, false, text, &end);
-    end.under = fingerprint->request;
+    end.member = fingerprint->request;
     add_end(suspects, fingerprint->family, true, text, &end);
 }
 
@@ -265,61 +265,61 @@
         suspect_t *suspect = suspects->items[i];
         if (!suspect_confirm(suspect, life))
             continue;
-        suspect->untold = true;
+        suspect->unsent = true;
         log_verdict(suspects, suspect, now_ms);
         count += !suspect->is_family;
     }
     if (count > 0)
-        note_news(suspects);
+        notify_update(suspects);
     return count;
 }
 
 void
-suspects_take_back(suspects_t *suspects, uint64_t life)
+suspects_retract(suspects_t *suspects, uint64_t life)
 {
     for (size_t i = suspects->count; i-- > 0;) {
         suspect_t *suspect = suspects->items[i];
-        suspect_take_back(suspect, life);
+        suspect_retract(suspect, life);
         if (suspect->end_count == 0 && suspect->cleared == CLEARED_NOT)
             remove_at(suspects, i);
     }
 }
 
 static void
-note_untold(suspects_t *suspects, suspect_t *suspect)
+mark_unsent(suspects_t *suspects, suspect_t *suspect)
 {
-    if (!suspect->told)
+    if (!suspect->sent)
         return;
-    suspect->untold = true;
-    note_news(suspects);
+    suspect->unsent = true;
+    notify_update(suspects);
 }
 
 /* A run has finished. Where other versions have ended under it only this one is known to bear it:
  * while a release goes on the others would end again. */
 static void
-finish(suspects_t *suspects, suspect_t *suspect, uint64_t version, uint64_t now_ms)
+finish_suspect(suspects_t *suspects, suspect_t *suspect, uint64_t version, uint64_t now_ms)
 {
     if (suspect == NULL || suspect->end_count == 0)
         return;
     const unsigned ends = suspect_ends(suspect);
     const uint64_t since_end_ms = now_ms - suspect_last_ms(suspect);
-    const bool is_known = suspect->good_version == version && suspect->trial_until_ms == 0;
-    if (suspect_finish(suspect, version, now_ms))
+    const bool was_known = suspect->good_version == version && suspect->trial_until_ms == 0;
+    if (suspect_add_finished_run(suspect, version, now_ms))
         suspect_log_cleared(suspect, ends, since_end_ms);
-    else if (is_known)
+    else if (was_known)
         return;
     else
         suspect_log_version(suspect, version, ends, since_end_ms);
-    note_untold(suspects, suspect);
+    mark_unsent(suspects, suspect);
 }
 
 void
-suspects_finished(suspects_t *suspects, const fingerprint_t *fingerprint, uint64_t version,
-                  uint64_t now_ms)
+suspects_add_finished_run(suspects_t *suspects, const fingerprint_t *fingerprint, uint64_t version,
+                          uint64_t now_ms)
 {
-    const known_t known = find_known(suspects, fingerprint);
-    for (size_t i = 0; i < KNOWN_COUNT; i++)
-        finish(suspects, known.items[i], version, now_ms);
+    const matches_t matches = find_matches(suspects, fingerprint);
+    for (size_t i = 0; i < MATCHES_COUNT; i++)
+        finish_suspect(suspects, matches.items[i], version, now_ms);
 }
 
 bool
@@ -332,40 +332,40 @@
     const uint64_t since_end_ms = now_ms - suspect_last_ms(suspect);
     suspect_clear(suspect, CLEARED_LIFTED, now_ms);
     suspect_log_cleared(suspect, ends, since_end_ms);
-    note_untold(suspects, suspect);
+    mark_unsent(suspects, suspect);
     return true;
 }
 
 void
 suspects_begin_trial(suspects_t *suspects, const fingerprint_t *fingerprint, uint64_t now_ms)
 {
-    const known_t known = find_known(suspects, fingerprint);
-    for (size_t i = 0; i < KNOWN_COUNT; i++) {
-        suspect_t *suspect = known.items[i];
+    const matches_t matches = find_matches(suspects, fingerprint);
+    for (size_t i = 0; i < MATCHES_COUNT; i++) {
+        suspect_t *suspect = matches.items[i];
         if (suspect == NULL || suspect_decide(suspects, suspect, now_ms).verdict == QUARANTINE_FREE)
             continue;
         suspect->trial_until_ms = now_ms + QUARANTINE_TRIAL_MS;
-        suspect->untold = true;
+        suspect->unsent = true;
         suspect_log_tried(suspect, now_ms);
     }
     suspect_count_trial();
-    note_news(suspects);
+    notify_update(suspects);
 }
 
 void
 suspects_count_refused(suspects_t *suspects, const fingerprint_t *fingerprint)
 {
-    const known_t known = find_known(suspects, fingerprint);
-    for (size_t i = 0; i < KNOWN_COUNT; i++) {
-        if (known.items[i] != NULL)
-            known.items[i]->refused++;
+    const matches_t matches = find_matches(suspects, fingerprint);
+    for (size_t i = 0; i < MATCHES_COUNT; i++) {
+        if (matches.items[i] != NULL)
+            matches.items[i]->refused++;
     }
 }
 
 /* ---- other instances ---- */
 
 void
-suspects_join(suspects_t *suspects, const suspect_t *theirs, uint64_t now_ms)
+suspects_merge(suspects_t *suspects, const suspect_t *theirs, uint64_t now_ms)
 {
     if (theirs->end_count == 0 && suspects_find(suspects, theirs->fingerprint) == NULL)
         return;
@@ -373,30 +373,30 @@
     const unsigned ends = suspect_ends(suspect);
     const uint64_t since_end_ms = now_ms - suspect_last_ms(suspect);
     const bool had_ends = suspect->end_count > 0;
-    suspect_join(suspect, theirs);
+    suspect_merge(suspect, theirs);
     if (had_ends && suspect->end_count == 0)
         suspect_log_cleared(suspect, ends, since_end_ms);
-    suspect->told = true;
-    suspect->told_to_all |= !quarantine_may_resend(suspect_lives(theirs));
+    suspect->sent = true;
+    suspect->sent_to_all |= !quarantine_may_resend(suspect_lives(theirs));
     log_verdict(suspects, suspect, now_ms);
 }
 
 /* ---- regular work ---- */
 
 static bool
-is_over(const suspect_t *suspect, uint64_t now_ms)
+is_expired(const suspect_t *suspect, uint64_t now_ms)
 {
     const uint64_t since_ms = now_ms - suspect_last_ms(suspect);
     if (suspect->end_count == 0)
-        return since_ms > CLEARED_KEEP_MS;
-    return since_ms > quarantine_term_ms(suspect_ends(suspect)) + FORGET_MS;
+        return since_ms > CLEARED_RETENTION_MS;
+    return since_ms > quarantine_term_ms(suspect_ends(suspect)) + RETENTION_MS;
 }
 
 void
 suspects_tick(suspects_t *suspects, uint64_t now_ms)
 {
     for (size_t i = suspects->count; i-- > 0;) {
-        if (is_over(suspects->items[i], now_ms))
+        if (is_expired(suspects->items[i], now_ms))
             remove_at(suspects, i);
     }
 }
--- a/gateway/state/suspects.h
+++ b/gateway/state/suspects.h
@@ -38,7 +38,7 @@
     suspect_t **items; /* by fingerprint */
     size_t count;
     size_t size;
-    suspects_cb_t on_news;
+    suspects_cb_t on_update;
     void *ctx;
 } suspects_t;
 
@@ -49,7 +49,7 @@
 /* The most ends that count against the request or its family. */
 unsigned suspects_ends(const suspects_t *suspects, const fingerprint_t *fingerprint);
 /* True if there is any evidence against the request or its family. */
-bool suspects_know(const suspects_t *suspects, const fingerprint_t *fingerprint);
+bool suspects_has_evidence(const suspects_t *suspects, const fingerprint_t *fingerprint);
 /* The stricter of what is decided of the request and of its family. */
 quarantine_t suspects_decide(const suspects_t *suspects, const fingerprint_t *fingerprint,
                              uint64_t now_ms);
@@ -66,10 +66,10 @@
  * the number of requests. */
 size_t suspects_confirm(suspects_t *suspects, uint64_t life, uint64_t now_ms);
 /* It lives. */
-void suspects_take_back(suspects_t *suspects, uint64_t life);
+void suspects_retract(suspects_t *suspects, uint64_t life);
 /* A run of the request has finished on a backend server of that software version. */
-void suspects_finished(suspects_t *suspects, const fingerprint_t *fingerprint, uint64_t version,
-                       uint64_t now_ms);
+void suspects_add_finished_run(suspects_t *suspects, const fingerprint_t *fingerprint,
+                               uint64_t version, uint64_t now_ms);
 /* An operator lifts what is held against a request or a family. False if nothing is. */
 bool suspects_lift(suspects_t *suspects, uint64_t fingerprint, uint64_t now_ms);
 /* A trial of the request goes out now. */
@@ -77,7 +77,7 @@
 /* The request was refused here. */
 void suspects_count_refused(suspects_t *suspects, const fingerprint_t *fingerprint);
 /* Joins what another instance knows, in this one's loop time. */
-void suspects_join(suspects_t *suspects, const suspect_t *theirs, uint64_t now_ms);
+void suspects_merge(suspects_t *suspects, const suspect_t *theirs, uint64_t now_ms);
 /* Regular work: forgets. */
 void suspects_tick(suspects_t *suspects, uint64_t now_ms);
 /* Requests and families that are refused now. */
--- a/gateway/state/view.c
+++ b/gateway/state/view.c
@@ -9,10 +9,10 @@
 
 /* Keeps that an object went on the way to revision `at`. */
 static void
-keep_removal(view_t *view, str_t name, uint64_t at)
+record_removal(view_t *view, str_t name, uint64_t at)
 {
-    view_removal_t *slot = &view->removals[view->removal_count % VIEW_REMOVALS];
-    if (view->removal_count >= VIEW_REMOVALS)
+    view_removal_t *slot = &view->removals[view->removal_count % VIEW_REMOVALS_MAX];
+    if (view->removal_count >= VIEW_REMOVALS_MAX)
         view->removals_from = slot->at;
     free(slot->name);
     *slot = (view_removal_t){.name = xmemdup0(name.ptr, name.len), .at = at};
@@ -97,15 +97,15 @@
 apply_item(view_t *view, const store_item_t *item, uint64_t at)
 {
     const size_t index = lower_bound(view, item->name);
-    const bool there = is_at(view, index, item->name);
+    const bool exists = is_at(view, index, item->name);
     if (item->gone) {
-        if (!there || view->items[index].revision > item->revision)
+        if (!exists || view->items[index].revision > item->revision)
             return false;
         remove_at(view, index);
-        keep_removal(view, item->name, at);
+        record_removal(view, item->name, at);
         return true;
     }
-    if (there && view->items[index].revision >= item->revision)
+    if (exists && view->items[index].revision >= item->revision)
         return false;
     put_at(view, index, item);
     return true;
@@ -118,7 +118,7 @@
 } name_list_t;
 
 static int
-by_name(const void *left, const void *right)
+compare_names(const void *left, const void *right)
 {
     return str_order(*(const str_t *)left, *(const str_t *)right);
 }
@@ -131,15 +131,15 @@
         if (!items[i].gone)
             list.names[list.count++] = items[i].name;
     }
-    qsort(list.names, list.count, sizeof(*list.names), by_name);
+    qsort(list.names, list.count, sizeof(*list.names), compare_names);
     return list;
 }
 
 static bool
-listed(const name_list_t *list, const char *name)
+is_listed(const name_list_t *list, const char *name)
 {
     const str_t wanted = str_from(name);
-    return bsearch(&wanted, list->names, list->count, sizeof(*list->names), by_name) != NULL;
+    return bsearch(&wanted, list->names, list->count, sizeof(*list->names), compare_names) != NULL;
 }
 
 view_result_t
@@ -150,9 +150,9 @@
     bool changed = !view->known;
     const name_list_t list = sort_names(items, count);
     for (size_t i = view->count; i > 0; i--) {
-        if (listed(&list, view->items[i - 1].name))
+        if (is_listed(&list, view->items[i - 1].name))
             continue;
-        keep_removal(view, str_from(view->items[i - 1].name), at);
+        record_removal(view, str_from(view->items[i - 1].name), at);
         remove_at(view, i - 1);
         changed = true;
     }
@@ -188,7 +188,7 @@
 }
 
 static store_item_t
-present_item(const view_item_t *item)
+store_item_from(const view_item_t *item)
 {
     return (store_item_t){
         .name = str_from(item->name),
@@ -203,9 +203,9 @@
 {
     size_t count = 0;
     const uint64_t first =
-        view->removal_count > VIEW_REMOVALS ? view->removal_count - VIEW_REMOVALS : 0;
+        view->removal_count > VIEW_REMOVALS_MAX ? view->removal_count - VIEW_REMOVALS_MAX : 0;
     for (uint64_t i = first; i < view->removal_count; i++) {
-        const view_removal_t *removal = &view->removals[i % VIEW_REMOVALS];
+        const view_removal_t *removal = &view->removals[i % VIEW_REMOVALS_MAX];
         const str_t name = str_from(removal->name);
         if (removal->at > have && view_find(view, name) == NULL)
             out[count++] = (store_item_t){.name = name, .revision = removal->at, .gone = true};
@@ -218,11 +218,11 @@
 {
     if (!view->known || have < view->removals_from)
         return NULL;
-    store_item_t *items = xcalloc(view->count + VIEW_REMOVALS, sizeof(*items));
+    store_item_t *items = xcalloc(view->count + VIEW_REMOVALS_MAX, sizeof(*items));
     *count = removals_since(view, have, items);
     for (size_t i = 0; i < view->count; i++) {
         if (view->items[i].revision > have)
-            items[(*count)++] = present_item(&view->items[i]);
+            items[(*count)++] = store_item_from(&view->items[i]);
     }
     return items;
 }
@@ -232,14 +232,14 @@
 {
     store_item_t *items = xcalloc(view->count + 1, sizeof(*items));
     for (size_t i = 0; i < view->count; i++)
-        items[i] = present_item(&view->items[i]);
+        items[i] = store_item_from(&view->items[i]);
     return items;
 }
 
 void
 view_free(view_t *view)
 {
-    for (size_t i = 0; i < VIEW_REMOVALS; i++)
+    for (size_t i = 0; i < VIEW_REMOVALS_MAX; i++)
         free(view->removals[i].name);
     for (size_t i = 0; i < view->count; i++)
         free_item(&view->items[i]);
--- a/gateway/state/view.h
+++ b/gateway/state/view.h
@@ -21,7 +21,7 @@
 
 /* Removals kept for peers that missed some; beyond that they need the whole view. As many as
  * changes were kept before (commit 59548b9). */
-enum { VIEW_REMOVALS = 512 };
+enum { VIEW_REMOVALS_MAX = 512 };
 
 typedef struct {
     char *name;
@@ -34,10 +34,10 @@
     view_item_t *items; /* sorted by name */
     size_t count;
     size_t size;
-    uint64_t digest;                        /* over all names and revisions */
-    view_removal_t removals[VIEW_REMOVALS]; /* a ring */
-    uint64_t removal_count;                 /* of all time */
-    uint64_t removals_from;                 /* the ring holds all removals after this revision */
+    uint64_t digest;                            /* over all names and revisions */
+    view_removal_t removals[VIEW_REMOVALS_MAX]; /* a ring */
+    uint64_t removal_count;                     /* of all time */
+    uint64_t removals_from; /* the ring holds all removals after this revision */
 } view_t;
 
 typedef enum {
--- a/gateway/state/view_age.h
+++ b/gateway/state/view_age.h
@@ -15,7 +15,7 @@
 #include <stdint.h>
 
 enum {
-    VIEW_AGE_POINTS = 16, /* changes that are told apart: some seconds of them */
+    VIEW_AGE_POINTS_MAX = 16, /* changes that are told apart: some seconds of them */
     /* An age above this is not told: what came in a list after an outage, or from an instance that
      * does not tell ages, may be of any age. */
     VIEW_AGE_MAX_MS = 600000,
@@ -27,10 +27,10 @@
 } view_age_point_t;
 
 typedef struct {
-    view_age_point_t points[VIEW_AGE_POINTS]; /* a ring */
-    uint64_t count;                           /* of all time */
-    uint32_t last_ms;                         /* age of the last change when it came into force */
-    uint32_t most_ms;                         /* the highest of these */
+    view_age_point_t points[VIEW_AGE_POINTS_MAX]; /* a ring */
+    uint64_t count;                               /* of all time */
+    uint32_t last_ms;    /* age of the last change when it came into force */
+    uint32_t highest_ms; /* the highest of these */
 } view_age_t;
 
 /* The view reached revision `at`; the oldest change in it is `age_ms` old. */
--- a/gateway/state/view_message.c
+++ b/gateway/state/view_message.c
@@ -9,18 +9,18 @@
 
 /* Bytes of an object on the wire beside its name and body: tags, lengths, a revision of up to 9
  * bytes (the protobuf encoding). */
-enum { ITEM_OVERHEAD = 16 };
+enum { ITEM_OVERHEAD_BYTES = 16 };
 
 enum {
     /* Bytes of a body from which it is packed: a smaller one is a tenth of a second of the smallest
      * link of the users' sites even in 26 copies (policy/relay.c). */
-    PACK_MIN = 4096,
+    BODY_PACK_MIN_BYTES = 4096,
     /* Of 767 kB of routes level 1 makes 84 kB in 3.4 ms, level 6 65 kB in 8.4 ms; parsing them
      * takes 24 ms, unpacking 1.7 ms (measured on one core, 4,222 routes). */
-    PACK_LEVEL = 1,
-    UNPACKED_MAX = 16 << 20, /* bytes of a body or a list: guards the memory. Chosen */
+    ZLIB_LEVEL = 1,
+    UNPACKED_MAX_BYTES = 16 << 20, /* bytes of a body or a list: guards the memory. Chosen */
     /* Bytes of a list from which it is packed: below, it fits a packet of the network as it is. */
-    LIST_MIN = 1400,
+    LIST_PACK_MIN_BYTES = 1400,
 };
 
 static Iris__ViewItem *
@@ -74,7 +74,7 @@
 {
     uLongf room = compressBound(len);
     uint8_t *packed = xmalloc(room);
-    if (compress2(packed, &room, bytes, len, PACK_LEVEL) != Z_OK || room >= len) {
+    if (compress2(packed, &room, bytes, len, ZLIB_LEVEL) != Z_OK || room >= len) {
         free(packed);
         return NULL;
     }
@@ -86,7 +86,7 @@
 static uint8_t *
 unpack_bytes(const ProtobufCBinaryData *packed, size_t len)
 {
-    if (len > UNPACKED_MAX)
+    if (len > UNPACKED_MAX_BYTES)
         return NULL;
     uLongf room = len;
     uint8_t *bytes = xmalloc(len);
@@ -100,7 +100,8 @@
 static bool
 pack_item(Iris__ViewItem *item)
 {
-    if (item->body.len < PACK_MIN || item->body.len > UNPACKED_MAX || item->unpacked_bytes > 0)
+    if (item->body.len < BODY_PACK_MIN_BYTES || item->body.len > UNPACKED_MAX_BYTES ||
+        item->unpacked_bytes > 0)
         return false;
     size_t len;
     uint8_t *packed = pack_bytes(item->body.data, item->body.len, &len);
@@ -131,7 +132,7 @@
     list.n_items = message->item_count;
     list.items = message->items;
     const size_t len = iris__view_items__get_packed_size(&list);
-    if (len < LIST_MIN || len > UNPACKED_MAX)
+    if (len < LIST_PACK_MIN_BYTES || len > UNPACKED_MAX_BYTES)
         return;
     uint8_t *plain = xmalloc(len);
     iris__view_items__pack(&list, plain);
@@ -150,13 +151,13 @@
 }
 
 void
-view_message_pack(view_message_t *message, view_reads_t reads)
+view_message_pack(view_message_t *message, view_format_t format)
 {
     if (message->update.unpacked_bytes > 0)
         return;
-    if (reads == VIEW_READS_BODIES)
+    if (format == VIEW_FORMAT_PACKED_BODIES)
         pack_bodies(message);
-    if (reads == VIEW_READS_LISTS)
+    if (format == VIEW_FORMAT_PACKED_LIST)
         pack_list(message);
 }
 
@@ -243,7 +244,7 @@
 {
     size_t bytes = 0;
     for (size_t i = 0; i < update->n_items; i++)
-        bytes += strlen(update->items[i]->name) + update->items[i]->body.len + ITEM_OVERHEAD;
+        bytes += strlen(update->items[i]->name) + update->items[i]->body.len + ITEM_OVERHEAD_BYTES;
     return bytes;
 }
 
--- a/gateway/state/view_message.h
+++ b/gateway/state/view_message.h
@@ -11,7 +11,7 @@
 #pragma once
 
 #include "gateway/ports.h"
-#include "gateway/state/view_reads.h"
+#include "gateway/state/view_format.h"
 #include "peer/link.h"
 
 /* An update ready to be sent. */
@@ -27,12 +27,12 @@
 /* In place, since the envelope points into it; free it with view_message_free(). */
 void view_message_fill(view_message_t *out, const store_item_t *items, size_t count);
 /* An update that came, to be sent on with the same objects: a list that is packed stays so. The
- * update must outlive the message; its objects are left out, so pack it for VIEW_READS_LISTS only.
- * False if it did not come as a list. */
+ * update must outlive the message; its objects are left out, so pack it for VIEW_FORMAT_PACKED_LIST
+ * only. False if it did not come as a list. */
 bool view_message_fill_list(view_message_t *out, const Iris__ViewUpdate *update);
 /* Brings the message into the form for such a reader; forms only go up. A packed message is of a
  * kind of its own, which an instance that does not know it leaves. */
-void view_message_pack(view_message_t *message, view_reads_t reads);
+void view_message_pack(view_message_t *message, view_format_t format);
 void view_message_free(view_message_t *message);
 /* Unpacks the objects of an update that came, which then owns them; false if one cannot be. What it
  * came packed in stays, to be sent on. */
--- a/gateway/state/view_push.c
+++ b/gateway/state/view_push.c
@@ -14,7 +14,7 @@
 
 /* Bytes of changes that are sent to other regions; larger ones go to the own region only (commit
  * 2b9bd2c). The figure was chosen. */
-enum { FAR_MAX = 60000 };
+enum { CROSS_REGION_MAX_BYTES = 60000 };
 
 void
 view_push_init(view_push_t *push, const view_push_conf_t *conf)
@@ -26,7 +26,7 @@
 /* ---- sending ---- */
 
 static void
-note_sent(const view_message_t *message, size_t receivers, size_t skipped, bool from_store)
+report_sent(const view_message_t *message, size_t receivers, size_t skipped, bool from_store)
 {
     counter_add(counter_get("irisstall_view_bytes_total", "reason=\"change\"",
                             "Bytes of objects sent to peers, by what made them go."),
@@ -40,16 +40,16 @@
 }
 
 static bool
-is_receiver(const receivers_t *order, const relay_input_t *input, size_t rank, view_reads_t reads)
+is_receiver(const receivers_t *order, const relay_input_t *input, size_t rank, view_format_t format)
 {
-    return relay_sends_to(input, rank) && order->items[rank].reads == reads;
+    return relay_sends_to(input, rank) && order->items[rank].format == format;
 }
 
 static bool
-any_receiver(const receivers_t *order, const relay_input_t *input, view_reads_t reads)
+any_receiver(const receivers_t *order, const relay_input_t *input, view_format_t format)
 {
     for (size_t i = 0; i < order->count; i++) {
-        if (is_receiver(order, input, i, reads))
+        if (is_receiver(order, input, i, format))
             return true;
     }
     return false;
@@ -58,19 +58,19 @@
 /* Sends the message to those named that take that form; returns the bytes that went out. */
 static size_t
 send_to(const view_push_t *push, const view_message_t *message, const receivers_t *order,
-        const relay_input_t *input, view_reads_t reads)
+        const relay_input_t *input, view_format_t format)
 {
     size_t receivers = 0;
     size_t skipped = 0;
     for (size_t i = 0; i < order->count; i++) {
-        if (!is_receiver(order, input, i, reads))
+        if (!is_receiver(order, input, i, format))
             continue;
         if (peer_offer(push->conf.hub, order->items[i].peer, &message->envelope))
             receivers++;
         else
             skipped++;
     }
-    note_sent(message, receivers, skipped, input->from_store);
+    report_sent(message, receivers, skipped, input->from_store);
     return message->bytes * receivers;
 }
 
@@ -81,7 +81,7 @@
         .members = push->conf.members,
         .instance = name_str(&push->instance),
         .region = push->conf.region,
-        .all_regions = push->conf.members->count <= MEMBERS_MESH && bytes <= FAR_MAX,
+        .all_regions = push->conf.members->count <= MEMBERS_MESH && bytes <= CROSS_REGION_MAX_BYTES,
         .now_ms = loop_now(push->conf.loop),
     };
 }
@@ -90,22 +90,22 @@
  * form `first` or a later one, in the form that each takes; returns the bytes that went out. */
 static size_t
 send_message(const view_push_t *push, view_message_t *message, size_t bytes, bool from_store,
-             view_reads_t first)
+             view_format_t first)
 {
-    const receivers_input_t whom = receivers_input(push, bytes);
-    receivers_t order = receivers_of(&whom, message->update.at);
+    const receivers_input_t selection = receivers_input(push, bytes);
+    receivers_t order = receivers_select(&selection, message->update.at);
     const relay_input_t input = {
         .bytes = bytes,
         .instances = order.count,
-        .own = order.own,
+        .own = order.own_rank,
         .from_store = from_store,
     };
     size_t sent = 0;
-    for (view_reads_t reads = first; reads < VIEW_READS_COUNT; reads++) {
-        if (!any_receiver(&order, &input, reads))
+    for (view_format_t format = first; format < VIEW_FORMAT_COUNT; format++) {
+        if (!any_receiver(&order, &input, format))
             continue;
-        view_message_pack(message, reads);
-        sent += send_to(push, message, &order, &input, reads);
+        view_message_pack(message, format);
+        sent += send_to(push, message, &order, &input, format);
     }
     receivers_free(&order);
     return sent;
@@ -139,35 +139,35 @@
 
 /* Where the changes to be sent begin: at the earliest point that makes them no larger. */
 static push_point_t
-earliest_start(const push_kind_t *state, const view_t *view, view_kind_t kind, size_t bytes)
+earliest_base(const push_kind_t *state, const view_t *view, view_kind_t kind, size_t bytes)
 {
     const uint64_t first =
-        state->earlier_count > PUSH_POINTS ? state->earlier_count - PUSH_POINTS : 0;
+        state->earlier_count > PUSH_BASES_MAX ? state->earlier_count - PUSH_BASES_MAX : 0;
     for (uint64_t i = first; i < state->earlier_count; i++) {
-        const push_point_t *point = &state->earlier[i % PUSH_POINTS];
+        const push_point_t *point = &state->earlier[i % PUSH_BASES_MAX];
         view_message_t message;
         store_item_t *items;
         if (!fill_changes(&message, &items, view, kind, point))
             continue;
-        const bool no_larger = message.bytes <= bytes;
+        const bool fits = message.bytes <= bytes;
         view_message_free(&message);
         free(items);
-        if (no_larger)
+        if (fits)
             return *point;
     }
     return state->from;
 }
 
 static void
-note_forwarded(push_kind_t *state, uint64_t at)
+mark_forwarded(push_kind_t *state, uint64_t at)
 {
-    state->forwarded[state->forwarded_count++ % PUSH_FORWARDED] = at;
+    state->forwarded[state->forwarded_count++ % PUSH_FORWARDED_MAX] = at;
 }
 
 static bool
 was_forwarded(const push_kind_t *state, uint64_t at)
 {
-    for (size_t i = 0; i < PUSH_FORWARDED && i < state->forwarded_count; i++) {
+    for (size_t i = 0; i < PUSH_FORWARDED_MAX && i < state->forwarded_count; i++) {
         if (state->forwarded[i] == at)
             return true;
     }
@@ -183,14 +183,14 @@
     xassert(fill_changes(&message, &items, &push->conf.views->items[kind], kind, &from));
     const size_t bytes = message.bytes;
     message.update.age_ms = age_since(push, kind, from.at);
-    note_forwarded(state, message.update.at);
-    const size_t sent = send_message(push, &message, bytes, true, VIEW_READS_PLAIN);
+    mark_forwarded(state, message.update.at);
+    const size_t sent = send_message(push, &message, bytes, true, VIEW_FORMAT_PLAIN);
     if (!relay_is_small(bytes))
         state->next_ms =
             loop_now(push->conf.loop) + relay_pause_ms(sent, push->conf.link_bytes_per_s);
     view_message_free(&message);
     free(items);
-    state->earlier[state->earlier_count++ % PUSH_POINTS] = state->from;
+    state->earlier[state->earlier_count++ % PUSH_BASES_MAX] = state->from;
     state->due = false;
 }
 
@@ -213,7 +213,7 @@
     view_message_free(&message);
     free(items);
     if (relay_is_small(bytes) || loop_now(push->conf.loop) >= state->next_ms)
-        send_changes(push, kind, earliest_start(state, view, kind, bytes));
+        send_changes(push, kind, earliest_base(state, view, kind, bytes));
 }
 
 /* True if the changes since then go along the tree. */
@@ -238,8 +238,8 @@
     push_kind_t *state = &push->kinds[delta->kind];
     const bool is_list = delta->kind == VIEW_BACKENDS;
     if (is_list && departures->count > 0 && is_large(push, delta->kind, delta->from)) {
-        const receivers_input_t whom = receivers_input(push, 0);
-        receivers_t order = receivers_of(&whom, push->conf.views->items[delta->kind].at);
+        const receivers_input_t selection = receivers_input(push, 0);
+        receivers_t order = receivers_select(&selection, push->conf.views->items[delta->kind].at);
         departure_push(push->conf.hub, &order, departures,
                        age_since(push, delta->kind, delta->from));
         receivers_free(&order);
@@ -265,7 +265,7 @@
     view_message_t message;
     if (!view_message_fill_list(&message, update))
         return false;
-    send_message(push, &message, bytes, false, VIEW_READS_LISTS);
+    send_message(push, &message, bytes, false, VIEW_FORMAT_PACKED_LIST);
     view_message_free(&message);
     return true;
 }
@@ -283,7 +283,7 @@
     message.update.whole = update->whole;
     message.update.base_digest = update->base_digest;
     message.update.age_ms = update->age_ms;
-    send_message(push, &message, bytes, false, VIEW_READS_PLAIN);
+    send_message(push, &message, bytes, false, VIEW_FORMAT_PLAIN);
     view_message_free(&message);
     free(items);
 }
@@ -300,8 +300,8 @@
     const size_t bytes = view_update_bytes(update);
     if (relay_is_small(bytes) || was_forwarded(state, update->at))
         return;
-    note_forwarded(state, update->at);
-    const receivers_input_t whom = receivers_input(push, bytes);
-    if (!receivers_read_lists(&whom) || !forward_list(push, update, bytes))
+    mark_forwarded(state, update->at);
+    const receivers_input_t selection = receivers_input(push, bytes);
+    if (!receivers_accept_packed_lists(&selection) || !forward_list(push, update, bytes))
         forward_items(push, update, bytes);
 }
--- a/gateway/state/view_push.h
+++ b/gateway/state/view_push.h
@@ -23,10 +23,10 @@
 
 enum {
     /* Earlier changes that a change may reach back to. Chosen: some seconds of a storm. */
-    PUSH_POINTS = 8,
+    PUSH_BASES_MAX = 8,
     /* Changes that are known to have been sent on. Chosen: those of some seconds, of the watchers
      * of a region. */
-    PUSH_FORWARDED = 32,
+    PUSH_FORWARDED_MAX = 32,
 };
 
 typedef struct {
@@ -47,13 +47,13 @@
 
 /* Changes of one view. */
 typedef struct {
-    bool due;                           /* some came from the store and are to be sent */
-    push_point_t from;                  /* they come after this point */
-    uint64_t next_ms;                   /* loop time from which a large change may be sent */
-    push_point_t earlier[PUSH_POINTS];  /* a ring: where the last changes came after */
-    uint64_t earlier_count;             /* of all time */
-    uint64_t forwarded[PUSH_FORWARDED]; /* a ring: revisions up to which changes were sent on */
-    uint64_t forwarded_count;           /* of all time */
+    bool due;                               /* some came from the store and are to be sent */
+    push_point_t from;                      /* they come after this point */
+    uint64_t next_ms;                       /* loop time from which a large change may be sent */
+    push_point_t earlier[PUSH_BASES_MAX];   /* a ring: where the last changes came after */
+    uint64_t earlier_count;                 /* of all time */
+    uint64_t forwarded[PUSH_FORWARDED_MAX]; /* a ring: revisions up to which changes were sent on */
+    uint64_t forwarded_count;               /* of all time */
 } push_kind_t;
 
 typedef struct {
--- a/gateway/state/view_relay.c
+++ b/gateway/state/view_relay.c
@@ -12,16 +12,16 @@
 #include "gateway/state/view_message.h"
 
 enum {
-    REQUEST_EVERY_MS = 600, /* an instance asks for a view at most this often. Chosen */
+    REQUEST_INTERVAL_MS = 600, /* an instance asks for a view at most this often. Chosen */
     /* A started instance asks those of its own region first: a whole view is some 80 kB. Chosen:
      * above the time in which they are heard of. */
-    START_NEAR_MS = 600,
-    START_REQUEST_EVERY_MS = 200, /* until it knows a view; each time another peer. Chosen */
+    START_OWN_REGION_MS = 600,
+    START_REQUEST_INTERVAL_MS = 200, /* until it knows a view; each time another peer. Chosen */
     /* Bytes of a view that a peer gets; a larger one it reads from the store. In the sweep at 300
      * instances whole views of 1 MB made most of the bytes (commit 59548b9). */
-    WHOLE_MAX = 200000,
+    WHOLE_MAX_BYTES = 200000,
     /* No answer is expected to pack to less than this part: routes pack 9 to 12 times. Chosen. */
-    PACK_PART = 16,
+    PACK_RATIO_MAX = 16,
 };
 
 void
@@ -42,7 +42,7 @@
 
 /* False if answers have taken all that they may for now. A whole burst is always enough. */
 static bool
-has_room(view_relay_t *relay, size_t bytes)
+has_answer_budget(view_relay_t *relay, size_t bytes)
 {
     const double burst = relay_answers_burst(relay->conf.link_bytes_per_s);
     const double needed = (double)bytes < burst ? (double)bytes : burst;
@@ -50,9 +50,9 @@
 }
 
 static bool
-may_answer(view_relay_t *relay, size_t bytes)
+take_answer_budget(view_relay_t *relay, size_t bytes)
 {
-    if (!has_room(relay, bytes))
+    if (!has_answer_budget(relay, bytes))
         return false;
     bucket_charge(&relay->answers, (double)bytes, loop_now(relay->conf.loop));
     return true;
@@ -65,9 +65,10 @@
 {
     if (!request->unpacks)
         return true;
-    if (!has_room(relay, message->bytes / PACK_PART))
+    if (!has_answer_budget(relay, message->bytes / PACK_RATIO_MAX))
         return false;
-    view_message_pack(message, request->reads_lists ? VIEW_READS_LISTS : VIEW_READS_BODIES);
+    view_message_pack(message,
+                      request->reads_lists ? VIEW_FORMAT_PACKED_LIST : VIEW_FORMAT_PACKED_BODIES);
     return true;
 }
 
@@ -75,8 +76,8 @@
 static bool
 prepare_answer(view_relay_t *relay, view_message_t *message, const Iris__ViewRequest *request)
 {
-    const bool has_a_chance = pack_answer(relay, message, request);
-    return !has_a_chance || request->whole || message->bytes <= WHOLE_MAX;
+    const bool may_fit_budget = pack_answer(relay, message, request);
+    return !may_fit_budget || request->whole || message->bytes <= WHOLE_MAX_BYTES;
 }
 
 static void
@@ -84,7 +85,7 @@
 {
     const Iris__ViewUpdate *update = &message->update;
     const bool sent =
-        may_answer(relay, message->bytes) && peer_offer_reply(conn, &message->envelope);
+        take_answer_budget(relay, message->bytes) && peer_offer_reply(conn, &message->envelope);
     LOG_INFO("view request %s: kind=%u from=%llu at=%llu whole=%d objects=%zu bytes=%zu",
              sent ? "answered" : "not answered", update->kind, (unsigned long long)update->from,
              (unsigned long long)update->at, update->whole, update->n_items, message->bytes);
@@ -112,12 +113,12 @@
     message.update.base_digest = request->digest;
     message.update.age_ms = view_age_since(&relay->conf.views->ages[request->kind], request->have,
                                            loop_now(relay->conf.loop));
-    const bool wanted = prepare_answer(relay, &message, request);
-    if (wanted)
+    const bool fits = prepare_answer(relay, &message, request);
+    if (fits)
         send_reply(relay, conn, &message);
     view_message_free(&message);
     free(items);
-    return wanted;
+    return fits;
 }
 
 /* Answers with the view as it was packed for somebody else; false if that is another one. */
@@ -142,7 +143,7 @@
 }
 
 static void
-keep_packed(view_relay_t *relay, const view_message_t *message)
+cache_packed(view_relay_t *relay, const view_message_t *message)
 {
     const Iris__ViewUpdate *update = &message->update;
     packed_view_t *packed = &relay->packed[update->kind];
@@ -176,7 +177,7 @@
     message.update.at = fits ? view->at : 0;
     message.update.whole = fits;
     if (fits)
-        keep_packed(relay, &message);
+        cache_packed(relay, &message);
     send_reply(relay, conn, &message);
     view_message_free(&message);
     free(items);
@@ -198,8 +199,9 @@
 {
     const view_t *view = &relay->conf.views->items[kind];
     const uint64_t now_ms = loop_now(relay->conf.loop);
-    const uint64_t every_ms = view->known ? REQUEST_EVERY_MS : START_REQUEST_EVERY_MS;
-    if (relay->kinds[kind].requested_ms > 0 && now_ms - relay->kinds[kind].requested_ms < every_ms)
+    const uint64_t interval_ms = view->known ? REQUEST_INTERVAL_MS : START_REQUEST_INTERVAL_MS;
+    if (relay->kinds[kind].requested_ms > 0 &&
+        now_ms - relay->kinds[kind].requested_ms < interval_ms)
         return;
     relay->kinds[kind].requested_ms = now_ms;
     Iris__Envelope envelope = IRIS__ENVELOPE__INIT;
@@ -220,13 +222,14 @@
 
 /* True if it is time to ask a peer that holds the view. */
 static bool
-is_time_to_ask(view_relay_t *relay, view_kind_t kind, const member_t *member)
+should_request(view_relay_t *relay, view_kind_t kind, const member_t *member)
 {
     const uint64_t at = member->views[kind].at;
     const uint64_t now_ms = loop_now(relay->conf.loop);
     relay_lag_t *lag = &relay->kinds[kind].lag;
     if (!relay->conf.views->items[kind].known)
-        return member->region == relay->conf.region || now_ms - relay->started_ms >= START_NEAR_MS;
+        return member->region == relay->conf.region ||
+               now_ms - relay->started_ms >= START_OWN_REGION_MS;
     relay_lag_notice(lag, at, now_ms);
     return relay_lag_asks(lag, at, now_ms);
 }
@@ -247,7 +250,7 @@
             view_relay_view_changed(relay, kind);
             continue;
         }
-        if (is_time_to_ask(relay, kind, member))
+        if (should_request(relay, kind, member))
             request_view(relay, kind, &member->peer);
     }
 }
@@ -271,7 +274,7 @@
 
 /* The peer sent changes of its own accord. */
 static void
-on_change(view_relay_t *relay, const Iris__ViewUpdate *update, view_result_t result)
+on_pushed_change(view_relay_t *relay, const Iris__ViewUpdate *update, view_result_t result)
 {
     relay_lag_t *lag = &relay->kinds[update->kind].lag;
     const uint64_t now_ms = loop_now(relay->conf.loop);
@@ -304,7 +307,7 @@
     }
     const view_result_t result = apply_update(&relay->conf.views->items[update->kind], update);
     if (peer_is_unasked(conn))
-        on_change(relay, update, result);
+        on_pushed_change(relay, update, result);
     if (result == VIEW_CHANGED)
         views_changed(relay->conf.views, update->kind, "peer", update_age_ms(update),
                       loop_now(relay->conf.loop));
--- a/test/gateway/test_lives.c
+++ b/test/gateway/test_lives.c
@@ -99,7 +99,7 @@
 static void
 tell_departure(rig_t *rig, const char *id, uint64_t revision, bool gone)
 {
-    departure_t departure = {.revision = revision, .gone = gone, .told_ms = rig->loop.time};
+    departure_t departure = {.revision = revision, .gone = gone, .learned_ms = rig->loop.time};
     ck_assert(name_set(&departure.backend, str_from(id)));
     catalog_apply_departures(&rig->catalog, &departure, 1, no_trouble);
 }
--- a/test/gateway/test_outage.c
+++ b/test/gateway/test_outage.c
@@ -73,7 +73,7 @@
     store_watch_view_changed(&rig->watch);
     if (kind == VIEW_BACKENDS)
         catalog_apply_backends(&rig->catalog, &rig->views.items[kind],
-                               store_watch_trouble(&rig->watch));
+                               store_watch_outage_state(&rig->watch));
 }
 
 static void
@@ -251,7 +251,7 @@
     rig_t *rig = new_rig();
     go_by(rig, OUTAGE_MS, false);
     go_by(rig, RETURN_MS, true);
-    const uint64_t return_ms = rig->watch.returned_ms;
+    const uint64_t return_ms = rig->watch.recovered_ms;
     ck_assert_uint_gt(return_ms, 0);
     tell(rig, 0, 1, true);
     go_by(rig, 600, true);
@@ -276,7 +276,7 @@
     go_by(rig, 600, true);
     tell(rig, 0, 1, true);
     ck_assert(is_usable(rig, 0));
-    pass_ms(rig, rig->watch.returned_ms + GRACE_MS - uv_now(&rig->loop));
+    pass_ms(rig, rig->watch.recovered_ms + GRACE_MS - uv_now(&rig->loop));
     ck_assert(!is_usable(rig, 0));
     free_rig(rig);
 }
@@ -286,11 +286,11 @@
 {
     rig_t *rig = new_rig();
     have_outage(rig);
-    const uint64_t first_ms = rig->watch.returned_ms;
+    const uint64_t first_ms = rig->watch.recovered_ms;
     go_by(rig, 1200, false);
-    ck_assert_uint_eq(store_watch_trouble(&rig->watch).since_return_ms, 0);
+    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, 0);
     go_by(rig, RETURN_MS, true);
-    ck_assert_uint_gt(rig->watch.returned_ms, first_ms);
+    ck_assert_uint_gt(rig->watch.recovered_ms, first_ms);
     tell(rig, 0, 1, true);
     ck_assert(is_usable(rig, 0));
     pass_ms(rig, GRACE_MS);
@@ -305,14 +305,14 @@
     rig_t *rig = new_rig();
     hear_peer(rig, true, OUTAGE_MS);
     go_by(rig, OUTAGE_MS, false);
-    ck_assert_uint_eq(store_watch_trouble(&rig->watch).since_return_ms, 0);
+    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, 0);
     /* A restarted peer has not failed yet and has had no answer either. */
     hear_peer(rig, false, STORE_AGE_NONE);
     pass_ms(rig, TICK_MS);
-    ck_assert_uint_eq(store_watch_trouble(&rig->watch).since_return_ms, 0);
+    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, 0);
     hear_peer(rig, false, 100);
     go_by(rig, 2900, false);
-    ck_assert_uint_ge(store_watch_trouble(&rig->watch).since_return_ms, 2500);
+    ck_assert_uint_ge(store_watch_outage_state(&rig->watch).since_return_ms, 2500);
     free_rig(rig);
 }
 END_TEST
@@ -329,7 +329,7 @@
     views_changed(&rig->views, VIEW_BACKENDS, "peer", 0, rig->loop.time);
     ck_assert(is_usable(rig, 0));
     pass_ms(rig, GRACE_MS / 2);
-    ck_assert_uint_eq(store_watch_trouble(&rig->watch).since_return_ms, GRACE_MS / 2);
+    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, GRACE_MS / 2);
     pass_ms(rig, GRACE_MS / 2);
     ck_assert(!is_usable(rig, 0));
     free_rig(rig);
@@ -349,10 +349,10 @@
     pass_ms(rig, 600);
     const store_answer_t failure = {.outcome = STORE_FAILED};
     answer_call(rig, VIEW_CONFIG, &failure);
-    ck_assert_uint_eq(store_watch_trouble(&rig->watch).since_return_ms, 600);
+    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, 600);
     /* One that was begun after it does. */
     go_by(rig, 2000, false);
-    ck_assert_uint_eq(store_watch_trouble(&rig->watch).since_return_ms, 0);
+    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, 0);
     free_rig(rig);
 }
 END_TEST
@@ -398,7 +398,7 @@
     hear_peer(rig, false, 100);
     go_by(rig, OUTAGE_MS, false);
     go_by(rig, RETURN_MS, true);
-    ck_assert(store_watch_trouble(&rig->watch).since_return_ms == REMOVAL_NEVER);
+    ck_assert(store_watch_outage_state(&rig->watch).since_return_ms == REMOVAL_NEVER);
     tell(rig, 0, 1, true);
     ck_assert(!is_usable(rig, 0));
     free_rig(rig);
@@ -424,7 +424,7 @@
         hear_peer(rig, by_peer, 100);
         go_by(rig, TICK_MS, by_peer);
         go_by(rig, RETURN_MS, true);
-        ck_assert(store_watch_trouble(&rig->watch).since_return_ms == REMOVAL_NEVER);
+        ck_assert(store_watch_outage_state(&rig->watch).since_return_ms == REMOVAL_NEVER);
         tell(rig, 0, BACKENDS, true);
         pass_ms(rig, MASS_LOSS_MS - 1);
         ck_assert(is_usable(rig, 0));
@@ -450,15 +450,15 @@
     for (size_t i = 0; i < WITNESSES; i++)
         hear_instance(rig, addrs[i], names[i], i < WITNESSES - 1, STORE_AGE_NONE);
     pass_ms(rig, HALF_MS);
-    ck_assert(store_watch_trouble(&rig->watch).since_return_ms == REMOVAL_NEVER);
+    ck_assert(store_watch_outage_state(&rig->watch).since_return_ms == REMOVAL_NEVER);
     hear_instance(rig, addrs[WITNESSES - 1], names[WITNESSES - 1], true, STORE_AGE_NONE);
     pass_ms(rig, HALF_MS);
     ck_assert(!rig->watch.watching);
-    ck_assert_uint_eq(store_watch_trouble(&rig->watch).since_return_ms, 0);
+    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, 0);
     hear_instance(rig, addrs[0], names[0], false, 0);
     pass_ms(rig, HALF_MS);
     pass_ms(rig, HALF_MS);
-    ck_assert_uint_eq(store_watch_trouble(&rig->watch).since_return_ms, HALF_MS);
+    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, HALF_MS);
     free_rig(rig);
 }
 END_TEST
--- a/test/gateway/test_suspects.c
+++ b/test/gateway/test_suspects.c
@@ -68,7 +68,7 @@
 finish(suspects_t *suspects, uint64_t request, uint64_t now_ms)
 {
     const fingerprint_t fingerprint = alone(request);
-    suspects_finished(suspects, &fingerprint, VERSION, now_ms);
+    suspects_add_finished_run(suspects, &fingerprint, VERSION, now_ms);
 }
 
 START_TEST(the_terms_grow)
@@ -144,7 +144,7 @@
     const fingerprint_t fingerprint = alone(REQUEST);
     suspects_add_end(&suspects, &fingerprint, text, 2, VERSION, START_MS + 2);
     ck_assert_int_eq(verdict_at(&suspects, REQUEST, START_MS + 2), QUARANTINE_HELD);
-    suspects_take_back(&suspects, 2);
+    suspects_retract(&suspects, 2);
     ck_assert_int_eq(verdict_at(&suspects, REQUEST, START_MS + 2), QUARANTINE_FREE);
     suspects_free(&suspects);
 }
@@ -174,7 +174,7 @@
     suspect_t theirs;
     suspect_message_fill(&message, suspects_find(from, REQUEST), now_ms);
     suspect_message_read(&message.message, &theirs, now_ms);
-    suspects_join(to, &theirs, now_ms);
+    suspects_merge(to, &theirs, now_ms);
 }
 
 START_TEST(instances_put_their_evidence_together)
@@ -215,7 +215,7 @@
     ck_assert_int_eq(suspects_decide(&suspects, &next, START_MS).verdict, QUARANTINE_HELD);
     ck_assert_uint_eq(suspects_ends(&suspects, &next), 3);
     /* Another caller's finished run clears the family, and not who is held for itself. */
-    suspects_finished(&suspects, &next, VERSION, START_MS + 1);
+    suspects_add_finished_run(&suspects, &next, VERSION, START_MS + 1);
     ck_assert_int_eq(suspects_decide(&suspects, &next, START_MS + 2).verdict, QUARANTINE_FREE);
     const fingerprint_t first = {1, FAMILY};
     ck_assert_int_eq(suspects_decide(&suspects, &first, START_MS + 2).verdict, QUARANTINE_HELD);
@@ -339,7 +339,7 @@
     end_under(&a, REQUEST, 1, START_MS);
     end_under(&a, REQUEST, 2, START_MS);
     tell(&a, &b, START_MS);
-    suspects_finished(&a, &fingerprint, MENDED, START_MS + 10);
+    suspects_add_finished_run(&a, &fingerprint, MENDED, START_MS + 10);
     tell(&a, &b, START_MS + 20);
     const suspects_t *both[] = {&a, &b};
     for (size_t i = 0; i < ALEN(both); i++) {
@@ -356,7 +356,7 @@
     ck_assert_int_eq(suspects_decide_version(&b, &fingerprint, MENDED, START_MS + 40).verdict,
                      QUARANTINE_HELD);
     /* A run that finishes on the version that ended clears it. */
-    suspects_finished(&a, &fingerprint, VERSION, START_MS + 50);
+    suspects_add_finished_run(&a, &fingerprint, VERSION, START_MS + 50);
     ck_assert_uint_eq(ends_of(&a, REQUEST), 0);
     suspects_free(&a);
     suspects_free(&b);
--- a/test/gateway/test_view.c
+++ b/test/gateway/test_view.c
@@ -98,7 +98,7 @@
 /* However many objects changed: only removals are kept apart, and so many of them. */
 START_TEST(view_tells_many_changes_but_not_all_removals)
 {
-    enum { MANY = 2 * VIEW_REMOVALS };
+    enum { MANY = 2 * VIEW_REMOVALS_MAX };
     view_t view = {0};
     size_t count;
     char name[16];
@@ -112,7 +112,7 @@
     ck_assert_ptr_nonnull(out);
     ck_assert_uint_eq(count, MANY);
     free(out);
-    for (uint64_t i = 0; i <= VIEW_REMOVALS; i++) {
+    for (uint64_t i = 0; i <= VIEW_REMOVALS_MAX; i++) {
         const uint64_t at = 10 + MANY + i;
         snprintf(name, sizeof(name), "%04d", (int)i);
         const store_item_t gone[] = {item(name, at, true)};
@@ -121,7 +121,7 @@
     ck_assert_ptr_null(view_since(&view, 5, &count));
     out = view_since(&view, 10 + MANY, &count);
     ck_assert_ptr_nonnull(out);
-    ck_assert_uint_eq(count, VIEW_REMOVALS);
+    ck_assert_uint_eq(count, VIEW_REMOVALS_MAX);
     free(out);
     view_free(&view);
 }
--- a/test/gateway/test_view_relay.c
+++ b/test/gateway/test_view_relay.c
@@ -507,9 +507,9 @@
     view_message_fill(&message, items, ENTRIES);
     const size_t plain = message.bytes;
     message.update.at = 1500;
-    view_message_pack(&message, VIEW_READS_BODIES);
+    view_message_pack(&message, VIEW_FORMAT_PACKED_BODIES);
     ck_assert_uint_eq(message.bytes, plain);
-    view_message_pack(&message, VIEW_READS_LISTS);
+    view_message_pack(&message, VIEW_FORMAT_PACKED_LIST);
     ck_assert_uint_lt(message.bytes, plain / PACKED_PART);
     Iris__ViewUpdate *update = through_the_wire(&message);
     ck_assert(view_message_unpack(update));
