--- a/gateway/state/departure_push.c
+++ b/gateway/state/departure_push.c
@@ -13,7 +13,7 @@
     for (size_t i = 0; i < departures->count; i++) {
         const departure_t *departure = &departures->items[i];
         iris__departure__init(&items[i]);
-        items[i].backend = (char *)(uintptr_t)departure->backend.ptr; /* not written to */
+        items[i].backend = (char *)(uintptr_t)departure->backend.ptr; /* read-only */
         items[i].revision = departure->revision;
         items[i].gone = departure->gone;
         list[i] = &items[i];
--- a/gateway/state/departure_push.h
+++ b/gateway/state/departure_push.h
@@ -1,8 +1,8 @@
 /*
- * Departure push: tells other instances which backend servers leave, ahead of the change of the
- * list that says so (departures.h).
+ * Departure push: sends the departing backend servers to other instances, ahead of the change of
+ * the backend list (departures.h).
  *
- * Owns nothing. Relies on receivers.h for the instances, on peer/link.h for the connections.
+ * Owns nothing. Depends on receivers.h for the receivers and on peer/link.h for the connections.
  */
 #pragma once
 
@@ -10,9 +10,8 @@
 #include "gateway/state/receivers.h"
 #include "peer/link.h"
 
-/* Sends them straight to all receivers that take them: 25 bytes each, so that 160 at once are 4 kB,
- * 0.16 s of a link of 20 Mbit/s to 97 instances. The change that they are part of takes some 60 ms
- * at each of four or five steps of the tree, and waits for the pause after the one before.
- * `age_ms`: of the oldest of them. */
+/* Sends the departures directly to all receivers that accept them. At about 25 bytes each they
+ * overtake the change itself, which passes several levels of the tree and waits for the rate limit.
+ * `age_ms`: age of the oldest departure. */
 void departure_push(peer_hub_t *hub, const receivers_t *receivers, const departures_t *departures,
                     uint32_t age_ms);
--- a/gateway/state/departures.c
+++ b/gateway/state/departures.c
@@ -8,12 +8,12 @@
 
 enum {
     ITEMS_START = 16,
-    /* A view is behind its peers for some seconds at most, and a list from the store is as old as
-     * the call for it, 15 s at most (platform/store.c). Chosen. */
+    /* Exceeds the delay of views behind peers (seconds) and the age of a list read from the store
+     * (up to the 15 s timeout of the call, platform/store.c). */
     RETENTION_MS = 30000,
 };
 
-/* What is looked for among them. */
+/* Search key of is_below(). */
 typedef struct {
     const departures_t *departures;
     str_t backend;
@@ -26,7 +26,7 @@
     return str_order(name_str(&key->departures->items[index].backend), key->backend) < 0;
 }
 
-/* Index of the first one whose id is not below `backend`. */
+/* Index of the first departure whose backend is not below `backend`. */
 static size_t
 lower_bound(const departures_t *departures, str_t backend)
 {
--- a/gateway/state/departures.h
+++ b/gateway/state/departures.h
@@ -1,14 +1,14 @@
 /*
- * Departures: which backend servers are to get nothing new, as told ahead of the change of the view
- * that says so.
+ * Departures: backend servers that must get no new requests, received ahead of the change of the
+ * view.
  *
- * A change of the list of backend servers may hold hundreds of entries, and goes from instance to
- * instance. What binds an instance at once, that a backend server leaves or is gone, goes straight
- * from whoever learned it from the store to all instances of its region, in a few dozen bytes each.
- * A departure binds until the view holds a newer entry of that backend server; an older one that
- * comes later does not bring it back.
+ * A change of the backend list may hold hundreds of entries, and is forwarded from instance to
+ * instance. What must take effect immediately, that a backend server is leaving or gone, is sent
+ * directly by the instance that read it from the store to all instances of its region. A departure
+ * applies until the view holds a newer entry of that backend server; an older entry received later
+ * does not revert it.
  *
- * Owns the departures of the last seconds. Relies on nothing; time is passed in.
+ * Owns the departures of the last seconds. No dependencies; times are passed in.
  */
 #pragma once
 
@@ -16,9 +16,9 @@
 
 typedef struct {
     name_t backend;
-    uint64_t revision;   /* the store's, up to which it is known */
-    bool gone;           /* its entry went; else it says that it leaves */
-    uint64_t learned_ms; /* loop time at which it was learned here */
+    uint64_t revision;   /* store revision of the departure */
+    bool gone;           /* the entry was removed; otherwise it is marked as leaving */
+    uint64_t learned_ms; /* loop time at which this instance received it */
 } departure_t;
 
 typedef struct {
@@ -27,11 +27,12 @@
     size_t size;
 } departures_t;
 
-/* False if as much was known already. */
+/* False if the same or a newer departure is known. */
 bool departures_add(departures_t *departures, const departure_t *departure);
-/* What binds a backend server whose newest known entry is of that revision; NULL if nothing. */
+/* Returns the departure that applies to a backend server whose newest known entry has that
+ * revision, or NULL. */
 const departure_t *departures_find(const departures_t *departures, str_t backend,
                                    uint64_t revision);
-/* Forgets those that all views have caught up with by now. */
+/* Removes departures that every view has caught up with by now. */
 void departures_expire(departures_t *departures, uint64_t now_ms);
 void departures_free(departures_t *departures);
--- a/gateway/state/receivers.c
+++ b/gateway/state/receivers.c
@@ -12,8 +12,8 @@
     return (a > b) - (a < b);
 }
 
-/* Each change has an order of its own, so that an instance that is lost is not in the way of all of
- * them, nor in the same place of what two watchers send. */
+/* The order depends on the revision, so that a failed instance does not block every change, nor the
+ * same branch for two watchers. */
 static uint64_t
 rank_key(str_t instance, uint64_t at)
 {
--- a/gateway/state/receivers.h
+++ b/gateway/state/receivers.h
@@ -1,10 +1,9 @@
 /*
- * Receivers: the instances that are to have a change of a view, in an order that is the same on
- * each of them.
+ * Receivers: the instances that get a change of a view, in an order that is the same on all of
+ * them.
  *
- * policy/relay.h decides by the ranks in this order who sends to whom. Owns the order it made; the
- * addresses in it are the members', and hold until the next member is added. Relies on
- * membership/members.h.
+ * policy/relay.h decides by the ranks in this order who sends to whom. Owns the list; its addresses
+ * point into the members and are valid until a member is added. Depends on membership/members.h.
  */
 #pragma once
 
@@ -13,7 +12,7 @@
 typedef struct {
     uint64_t key;
     const addr_t *peer;   /* NULL for this instance */
-    view_format_t format; /* how it takes the change */
+    view_format_t format; /* encoding it accepts */
 } receiver_t;
 
 typedef struct {
@@ -26,13 +25,13 @@
     const members_t *members;
     str_t instance; /* name of this instance */
     size_t region;
-    bool all_regions; /* else those of the own region */
+    bool all_regions; /* otherwise the own region only */
     uint64_t now_ms;
 } receivers_input_t;
 
-/* The living instances that are to have the change up to revision `at`, in an order that is the
- * same on each of them but for instances that not all count as living. */
+/* Lists the live instances that get the change up to revision `at`. The order is the same on all
+ * instances, except where they disagree on who is alive. */
 receivers_t receivers_select(const receivers_input_t *input, uint64_t at);
-/* True if all living instances of the region take lists. */
+/* True if all live instances of the own region accept VIEW_FORMAT_PACKED_LIST. */
 bool receivers_accept_packed_lists(const receivers_input_t *input);
 void receivers_free(receivers_t *receivers);
--- a/gateway/state/store_watch.c
+++ b/gateway/state/store_watch.c
@@ -11,24 +11,23 @@
 #include "gateway/state/store_watch.h"
 
 enum {
-    /* A watch rests this long at most. Shorter ones cost more calls; 1 s was ruled out since
-     * silence would still be noticed too late (commit cdee74c). */
+    /* Longest duration of a watch. Shorter ones cost more calls; longer ones delay the detection of
+     * a silent store. */
     WATCH_WAIT_MS = 3000,
-    WATCH_WAIT_PROBE_MS = 20, /* an answer at once: is the store back? Chosen (commit ce9d245) */
+    WATCH_WAIT_PROBE_MS = 20, /* short, as only reachability matters */
     RETRY_MIN_MS = 200,       /* one tick; the pause grows by this much with each failure */
-    RETRY_MAX_MS = 1000,      /* of one that needs a view. Chosen, not measured */
-    /* While the store fails, one call tells whether it is back, and another follows if it has not
-     * ended after this time: a large answer on a small link would hold up the removal of a backend
-     * server. Above the time that a failing watch has. Chosen, not measured. */
+    RETRY_MAX_MS = 1000,      /* limit for a kind that needs a list */
+    /* While the store fails, one probe runs at a time; another kind is probed if it has not ended
+     * after this time, as a large answer on a slow link would delay the removal of a backend
+     * server. Exceeds the timeout of a failing watch. */
     PROBE_INTERVAL_MS = 1000,
-    FAILING_THRESHOLD = 2, /* in a row, after which the store fails this instance. Chosen */
-    /* An instance that had to watch goes on for this time, so that instances do not take turns in
-     * fifths of a second (commit 35bcf57). */
+    FAILING_THRESHOLD = 2, /* consecutive failures after which the store counts as failing */
+    /* Minimum duration of a takeover; prevents watchers from alternating every tick. */
     FALLBACK_MS = 3000,
-    /* A watch that is answered sooner found changes that were there already: the way to the store
-     * and back takes some milliseconds, 70 between regions. Chosen. */
+    /* A watch answered sooner returned changes that existed before it started. Exceeds the round
+     * trip to the store, including from other regions. */
     IMMEDIATE_ANSWER_MS = 100,
-    START_DELAY_SEED = 61, /* any number */
+    START_DELAY_SEED = 61, /* arbitrary */
 };
 
 void
@@ -58,7 +57,7 @@
     return &kind->owner->conf.views->items[kind->kind];
 }
 
-/* ---- who watches, and the store's state ---- */
+/* ---- watcher selection and store state ---- */
 
 static size_t
 rank_of(const store_watch_t *watch, bool served, uint64_t now_ms)
@@ -75,7 +74,7 @@
     return members_watch_store(watch->conf.members, watch->conf.region, age_max_ms, now_ms);
 }
 
-/* A started instance leaves the store to its peers for some time. */
+/* A starting instance first waits for its peers to send the views. */
 static bool
 is_start_delay_over(const store_watch_t *watch, uint64_t now_ms)
 {
@@ -83,8 +82,8 @@
     return now_ms - watch->started_ms >= store_turns_start_ms(key, watch->conf.is_seed);
 }
 
-/* True if no instance of the region watches the store, as far as is known here, and it is this
- * one's turn to. */
+/* True if no instance of the region seems to watch the store and this one is next in rank to do
+ * so. */
 static bool
 should_take_over(store_watch_t *watch, uint64_t now_ms)
 {
@@ -118,7 +117,8 @@
     return members_store_age_max_ms(watch->conf.members, watch->conf.region, now_ms);
 }
 
-/* Only if it fails everybody is the store away, and entries may lapse. */
+/* An outage is assumed only if the store fails for all instances; only then can entries expire
+ * unintentionally. */
 static void
 detect_outage(store_watch_t *watch, uint64_t now_ms)
 {
@@ -131,8 +131,8 @@
     LOG_WARN("store away for all: failures=%u", watch->failures);
 }
 
-/* A call of this instance has failed. One that hung over the first sign of the store's return says
- * nothing of the time after that. */
+/* Records a failed call. A call that started before the store's recovery does not indicate a new
+ * outage. */
 static void
 record_failure(store_watch_t *watch, const kind_watch_t *failed, uint64_t now_ms)
 {
@@ -141,7 +141,8 @@
         detect_outage(watch, now_ms);
 }
 
-/* The first sign ends it: an answer here, a peer that the store serves, a change that one tells. */
+/* Ends the outage on the first evidence: an answer here, a peer that the store serves, or a change
+ * received from a peer. */
 static void
 end_outage(store_watch_t *watch, const char *sign)
 {
@@ -152,7 +153,7 @@
     LOG_INFO("store back: sign=%s", sign);
 }
 
-/* What other instances say of the store. */
+/* Updates the store state from the heartbeats of other instances. */
 static void
 update_from_peers(store_watch_t *watch)
 {
@@ -167,7 +168,8 @@
         detect_outage(watch, now_ms);
 }
 
-/* A call that was begun before the outage was noticed and is answered: only others failed. */
+/* Cancels an outage: a call started before its detection was answered, so only other instances
+ * failed. */
 static void
 cancel_outage(store_watch_t *watch)
 {
@@ -189,7 +191,7 @@
     watch->probe_at_ms = 0;
 }
 
-/* A started instance reads each kind that peers have not brought, whoever watches. */
+/* A starting instance reads every kind that peers have not sent, whoever watches. */
 static bool
 needs_single_list(const kind_watch_t *kind)
 {
@@ -219,7 +221,7 @@
     if (watch->failures++ == 0) {
         LOG_WARN("store lost: kind=%d outcome=%d detail=\"%s\"", kind->kind, answer->outcome,
                  answer->err.detail);
-        watch->last_probed = VIEW_CONFIG; /* it is asked for last: its answer may be the largest */
+        watch->last_probed = VIEW_CONFIG; /* probed last, since its answer may be the largest */
     }
     record_failure(watch, kind, now_ms);
     kind->retry_at_ms = now_ms + retry_pause_ms(kind);
@@ -241,7 +243,7 @@
     kind->page_count = 0;
 }
 
-/* Copies the answer's items behind those of the earlier pages. */
+/* Appends copies of the answer's items to the earlier pages. */
 static void
 append_page(kind_watch_t *kind, const store_answer_t *answer)
 {
@@ -269,7 +271,7 @@
     return kind->list_needed ? STORE_REASON_HISTORY_GONE : STORE_REASON_PEER_REFERRAL;
 }
 
-/* The view has changed: it is applied here first, then sent on. */
+/* Applies the change locally, then passes it on to the peers. */
 static void
 publish_change(kind_watch_t *kind, const view_delta_t *delta, const char *source, uint64_t age_ms)
 {
@@ -278,8 +280,8 @@
     watch->conf.on_delta(watch->conf.ctx, delta);
 }
 
-/* The pages hold the whole list. What changed since the view was current is sent on, as after a
- * watch: after an outage all of a region would read the list otherwise. */
+/* Applies the completed list. The difference to the previous view is pushed to peers as after a
+ * watch; otherwise a whole region would read the list after an outage. */
 static void
 apply_list(kind_watch_t *kind)
 {
@@ -341,8 +343,8 @@
 
 /* ---- watch ---- */
 
-/* Age in milliseconds of the oldest change that the watch has brought, at the most: one that rested
- * is answered by the change, one that was answered at once brings changes that came before it. */
+/* Upper bound of the age of the changes returned by the watch, in milliseconds. A watch that was
+ * waiting is answered by the change itself; one answered immediately returns earlier changes. */
 static uint64_t
 changes_age_ms(const kind_watch_t *kind)
 {
@@ -366,7 +368,7 @@
         publish_change(kind, &delta, "watch", age_ms);
 }
 
-/* The next watch starts some time later, so that changes in quick succession come together. */
+/* Delays the next watch after changes, so that a burst of changes is read together. */
 static void
 on_watch(void *ctx, const store_answer_t *answer)
 {
@@ -381,7 +383,7 @@
         return;
     }
     if (answer->outcome != STORE_OK) {
-        /* The same watch would be answered in the same way; a list tells each object once. */
+        /* The same watch would fail again; a list returns each object once. */
         kind->list_needed |= answer->outcome == STORE_UNUSABLE;
         on_store_failed(kind, answer);
         return;
@@ -421,7 +423,7 @@
     return wanted && kind->state == WATCH_IDLE && loop_now(watch->conf.loop) >= kind->retry_at_ms;
 }
 
-/* One call at a time tells when the store is back; the kinds take turns. */
+/* Probes one kind at a time, in turn, until the store answers. */
 static void
 probe(store_watch_t *watch)
 {
--- a/gateway/state/suspect.c
+++ b/gateway/state/suspect.c
@@ -1,6 +1,6 @@
 #include "gateway/state/suspect.h"
 
-/* ---- what is known ---- */
+/* ---- queries ---- */
 
 uint64_t
 suspect_last_ms(const suspect_t *suspect)
@@ -85,7 +85,7 @@
     return false;
 }
 
-/* True if there is an end under `suspect` that was none under `other`. */
+/* True if `suspect` has an end that `other` does not share. */
 static bool
 has_unshared_end(const suspect_t *suspect, const suspect_t *other)
 {
@@ -96,7 +96,7 @@
     return false;
 }
 
-/* True for a family and its member. */
+/* True if one is a family and the other a member of it. */
 static bool
 is_family_with_member(const suspect_t *a, const suspect_t *b)
 {
@@ -114,7 +114,7 @@
     return others > ends || (others == ends && has_unshared_end(other, suspect));
 }
 
-/* ---- what is added ---- */
+/* ---- updates ---- */
 
 void
 suspect_set_text(suspect_t *suspect, str_t text)
@@ -200,7 +200,7 @@
     suspect->good_version = 0;
 }
 
-/* Forgets the ends of the version that finished a run. */
+/* Removes the ends of the good version that precede its completed run. */
 static void
 drop_good_version_ends(suspect_t *suspect)
 {
--- a/gateway/state/suspect.h
+++ b/gateway/state/suspect.h
@@ -1,88 +1,87 @@
 /*
- * One suspect: a request or a family of requests under which backend servers have ended, with the
- * evidence for and against it. Inside of suspects.h, which keeps them.
+ * Suspect: a request, or a family of requests, during which backend servers have terminated, with
+ * the evidence for and against it. Internal to suspects.h, which owns the suspects.
  *
- * The evidence joins like sets do: whatever the order and however often, the same ends remain, and
- * none up to the last clearing. Relies on nothing; time is passed in.
+ * Merging evidence is commutative and idempotent: any order and number of merges yields the same
+ * ends, without those before the last clearing. No dependencies; times are passed in.
  */
 #pragma once
 
 #include "base/str.h"
 
 enum {
-    SUSPECT_ENDS_MAX = 8, /* kept for each; the last term begins with fewer */
+    SUSPECT_ENDS_MAX = 8, /* kept per suspect; the longest quarantine term needs fewer */
     SUSPECT_TEXT_MAX = 128,
 };
 
-/* Why nothing is held against a request any more. */
+/* Why a request is no longer quarantined. */
 typedef enum {
     CLEARED_NOT,
-    CLEARED_FINISHED, /* a run of it finished */
+    CLEARED_FINISHED, /* a run of it completed */
     CLEARED_LIFTED,   /* by an operator */
 } cleared_t;
 
-/* What is the same for each try of a request, from path/fingerprint.h. */
+/* Identifies a request across retries; computed by path/fingerprint.h. */
 typedef struct {
-    uint64_t request; /* its caller, method, host, target and body */
-    uint64_t family;  /* its path and body */
+    uint64_t request; /* hash of caller, method, host, target and body */
+    uint64_t family;  /* hash of path and body */
 } fingerprint_t;
 
 typedef struct {
-    uint64_t life;    /* of the backend server, from backend_life_key() */
-    uint64_t version; /* of its software; 0: not known, it counts as any */
-    uint64_t member;  /* in a family: the member that was there; else 0 */
+    uint64_t life;    /* identifies the process of the backend server, from backend_life_key() */
+    uint64_t version; /* software version; 0 if unknown, which matches any */
+    uint64_t member;  /* in a family: fingerprint of the request involved; else 0 */
     uint64_t at_ms;   /* loop time */
-    bool confirmed;   /* it has ended; else that is being looked at */
+    bool confirmed;   /* the termination is verified; otherwise the check is pending */
 } suspect_end_t;
 
 typedef struct {
     uint64_t fingerprint; /* of a request or a family */
     bool is_family;
-    char text[SUSPECT_TEXT_MAX]; /* caller, method, host and path, for operators; may be empty */
+    char text[SUSPECT_TEXT_MAX]; /* caller, method, host and path for operators; may be empty */
     suspect_end_t ends[SUSPECT_ENDS_MAX];
     size_t end_count;
-    cleared_t cleared;   /* the last time */
-    uint64_t cleared_ms; /* loop time; ends up to it do not count */
-    uint64_t
-        good_version; /* software version that finished a run, while others have ended; 0: none */
-    uint64_t good_ms; /* loop time of that run; ends of the version up to it do not count */
-    uint64_t trial_until_ms; /* loop time; 0: no trial */
-    uint64_t refused;        /* tries, by this instance */
-    unsigned logged_ends;    /* the log says that it is held after so many */
-    bool unsent;             /* there is news of it for other instances */
-    bool sent;               /* others have heard of it */
-    bool sent_to_all;        /* not only those that keep it for a region */
+    cleared_t cleared;       /* reason of the last clearing */
+    uint64_t cleared_ms;     /* loop time of the last clearing; earlier ends do not count */
+    uint64_t good_version;   /* version that completed a run while others terminated; 0 if none */
+    uint64_t good_ms;        /* loop time of that run; earlier ends of the version do not count */
+    uint64_t trial_until_ms; /* loop time; 0 if no trial is running */
+    uint64_t refused;        /* tries refused by this instance */
+    unsigned logged_ends;    /* number of ends in the last verdict logged */
+    bool unsent;             /* has changes that other instances have not received */
+    bool sent;               /* other instances know of it */
+    bool sent_to_all;        /* not only the instances responsible within a region */
 } suspect_t;
 
-/* Keeps the first text that is told, as far as there is room; bytes that are not printable are
- * replaced. */
+/* Sets the text if none is set. Truncates it, and replaces non-printable bytes. */
 void suspect_set_text(suspect_t *suspect, str_t text);
-/* Adds an end that is not known and not cleared; the oldest goes if there are too many. */
+/* Adds an end unless it is known or cleared. Replaces the oldest one if the suspect is full. */
 void suspect_add_end(suspect_t *suspect, const suspect_end_t *end);
-/* Makes the ends with that life sure; true if one was not. */
+/* Marks the ends of that life as confirmed; true if any was not. */
 bool suspect_confirm(suspect_t *suspect, uint64_t life);
-/* Forgets the ends with that life that are not sure. */
+/* Removes the unconfirmed ends of that life. */
 void suspect_retract(suspect_t *suspect, uint64_t life);
-/* What ended up to that time does not count from now on. */
+/* Discards all ends up to `at_ms`. */
 void suspect_clear(suspect_t *suspect, cleared_t why, uint64_t at_ms);
-/* A run of it has finished on that software version: its ends do not count from now on, and those
- * of other versions still do. True if nothing is left. */
+/* Records a completed run on a software version: its earlier ends are discarded, those of other
+ * versions remain. True if the suspect is fully cleared. */
 bool suspect_add_finished_run(suspect_t *suspect, uint64_t version, uint64_t at_ms);
-/* Adds another instance's evidence. */
+/* Merges another instance's evidence. */
 void suspect_merge(suspect_t *suspect, const suspect_t *theirs);
 
-/* Lives that ended under it and count, sure or not; none for a family one member of which was there
- * at all of them. */
+/* Counts the distinct lives that ended, confirmed or not. 0 for a family if a single member was
+ * involved in all of them. */
 unsigned suspect_ends(const suspect_t *suspect);
-/* Lives that ended under it, whether they count or not. */
+/* Counts the distinct lives that ended, without the exception for families. */
 unsigned suspect_lives(const suspect_t *suspect);
-/* Those that count and are sure. */
+/* Like suspect_ends(), but counts confirmed ends only. */
 unsigned suspect_confirmed_ends(const suspect_t *suspect);
-/* True if a backend server of that software version has ended under it, or may have. */
+/* True if a backend server of that software version, or of an unknown one, has or may have
+ * terminated. */
 bool suspect_ended_version(const suspect_t *suspect, uint64_t version);
-/* Time of the last end, or of the clearing if there is none since. */
+/* Time of the last end, or of the last clearing if there are none. */
 uint64_t suspect_last_ms(const suspect_t *suspect);
-/* True if the end of that life under the suspect is rather the other one's. */
+/* True if the other suspect explains the end of that life better. */
 bool suspect_is_explained_by(const suspect_t *suspect, const suspect_t *other, uint64_t life);
-/* True if an entry before the one at this index has the same life. */
+/* True if an earlier entry than the one at `index` has the same life. */
 bool suspect_is_repeated_life(const suspect_t *suspect, size_t index);
--- a/gateway/state/suspect_log.h
+++ b/gateway/state/suspect_log.h
@@ -1,21 +1,21 @@
 /*
- * What is logged and counted of suspects: a line for each verdict, trial and clearing, with the
- * evidence, its age and the outcome. Inside of suspects.h.
+ * Logging and metrics of suspects: one line per verdict, trial and clearing, with the evidence, its
+ * age and the outcome. Internal to suspects.h.
  *
- * Owns the metrics irisstall_quarantine_*. Relies on suspect.h.
+ * Owns the metrics irisstall_quarantine_*. Depends on suspect.h.
  */
 #pragma once
 
 #include "gateway/state/suspect.h"
 
-/* It is held after so many ends. */
+/* The request is quarantined after that many ends. */
 void suspect_log_held(const suspect_t *suspect, unsigned ends, uint64_t now_ms);
 void suspect_log_tried(const suspect_t *suspect, uint64_t now_ms);
-/* A run finished on a software version, while others ended. */
+/* A run completed on a software version while other versions terminated. */
 void suspect_log_version(const suspect_t *suspect, uint64_t version, unsigned ends,
                          uint64_t since_end_ms);
-/* Nothing is held against it any more; `ends` and `since_end_ms` are of before. Says nothing of one
- * that was not held. */
+/* The request is cleared; `ends` and `since_end_ms` describe the state before. Logs nothing if it
+ * was not quarantined. */
 void suspect_log_cleared(const suspect_t *suspect, unsigned ends, uint64_t since_end_ms);
-/* One try of a request goes out, whether the request, its family or both are tried. */
+/* Counts one trial, whether it is of the request, its family or both. */
 void suspect_count_trial(void);
--- a/gateway/state/suspects.c
+++ b/gateway/state/suspects.c
@@ -9,17 +9,17 @@
 
 enum {
     ITEMS_START = 16,
-    /* After a request's last end, or its term if that is later. A caller that repeats an unsafe one
-     * every few minutes is caught; chosen. */
+    /* After the last end or the end of the quarantine term. Long enough to catch a caller that
+     * repeats a harmful request every few minutes. */
     RETENTION_MS = 600000,
-    /* News of a clearing is kept as long as an instance may be cut off and come back with evidence
-     * from before. Chosen. */
+    /* A clearing is kept for as long as an instance may be disconnected and then send outdated
+     * evidence. */
     CLEARED_RETENTION_MS = 120000,
 };
 
 /* ---- the table ---- */
 
-/* What is looked for in the table. */
+/* Search key of is_below(). */
 typedef struct {
     const suspects_t *suspects;
     uint64_t fingerprint;
@@ -57,7 +57,7 @@
             (suspects->count - index) * sizeof(suspects->items[0]));
 }
 
-/* Index of the suspect that is given up for a new one. */
+/* Index of the suspect to evict: fewest ends, then oldest. */
 static size_t
 eviction_candidate(const suspects_t *suspects)
 {
@@ -125,7 +125,7 @@
     return count;
 }
 
-/* `version`: of the backend server that the request would go to; 0: any. */
+/* `version`: of the target backend server; 0 for any. */
 static quarantine_t
 decide(const suspects_t *suspects, const suspect_t *suspect, uint64_t version, uint64_t now_ms)
 {
@@ -150,7 +150,7 @@
 
 enum { MATCHES_COUNT = 2 };
 
-/* What is known of the request and of its family; NULL each if nothing is. */
+/* The suspects of a request and of its family; NULL if unknown. */
 typedef struct {
     suspect_t *items[MATCHES_COUNT];
 } matches_t;
@@ -218,7 +218,7 @@
 
 /* ---- evidence ---- */
 
-/* Logs a verdict: a request is held, or for longer than before. */
+/* Logs a new verdict, or a longer quarantine term. */
 static void
 log_verdict(const suspects_t *suspects, suspect_t *suspect, uint64_t now_ms)
 {
@@ -294,8 +294,8 @@
     notify_update(suspects);
 }
 
-/* A run has finished. Where other versions have ended under it only this one is known to bear it:
- * while a release goes on the others would end again. */
+/* Applies a completed run. If other software versions terminated, only this version is cleared: the
+ * others would terminate again during a rollout. */
 static void
 finish_suspect(suspects_t *suspects, suspect_t *suspect, uint64_t version, uint64_t now_ms)
 {
@@ -362,7 +362,7 @@
     }
 }
 
-/* ---- other instances ---- */
+/* ---- evidence from other instances ---- */
 
 void
 suspects_merge(suspects_t *suspects, const suspect_t *theirs, uint64_t now_ms)
@@ -381,7 +381,7 @@
     log_verdict(suspects, suspect, now_ms);
 }
 
-/* ---- regular work ---- */
+/* ---- expiry ---- */
 
 static bool
 is_expired(const suspect_t *suspect, uint64_t now_ms)
--- a/gateway/state/view.c
+++ b/gateway/state/view.c
@@ -4,10 +4,10 @@
 #include "base/xmalloc.h"
 #include "gateway/state/view.h"
 
-/* Digests are compared between instances: the seed stays as it is. */
+/* Instances compare digests, so the seed must not change. */
 enum { DIGEST_SEED = 31, ITEMS_START = 16 };
 
-/* Keeps that an object went on the way to revision `at`. */
+/* Records the removal of an object at revision `at`. */
 static void
 record_removal(view_t *view, str_t name, uint64_t at)
 {
@@ -19,7 +19,7 @@
     view->removal_count++;
 }
 
-/* The digest is a sum over the items, so that it changes with each of them alone. */
+/* The digest of a view is the sum over its items, so it can be updated incrementally. */
 static uint64_t
 item_digest(const view_item_t *item)
 {
@@ -111,7 +111,7 @@
     return true;
 }
 
-/* The names of a list, sorted. */
+/* Sorted names of the objects in a list. */
 typedef struct {
     str_t *names;
     size_t count;
@@ -197,7 +197,7 @@
     };
 }
 
-/* Removals after `have`, but of objects that are there again. */
+/* Removals after `have`, except those of objects that exist again. */
 static size_t
 removals_since(const view_t *view, uint64_t have, store_item_t *out)
 {
--- a/gateway/state/view_format.h
+++ b/gateway/state/view_format.h
@@ -1,12 +1,12 @@
 /*
- * The forms of a view update that an instance takes; older instances take fewer.
+ * Encodings of a view update that an instance accepts. Older instances accept fewer.
  */
 #pragma once
 
-/* Each in addition to those before it. */
+/* Each value includes the encodings before it. */
 typedef enum {
-    VIEW_FORMAT_PLAIN,         /* objects as they are */
-    VIEW_FORMAT_PACKED_BODIES, /* large bodies packed, each alone */
-    VIEW_FORMAT_PACKED_LIST,   /* the objects packed together, and departures ahead of a change */
+    VIEW_FORMAT_PLAIN,         /* objects uncompressed */
+    VIEW_FORMAT_PACKED_BODIES, /* large bodies compressed individually */
+    VIEW_FORMAT_PACKED_LIST,   /* objects compressed together; also takes departures */
     VIEW_FORMAT_COUNT,
 } view_format_t;
--- a/gateway/state/view_message.c
+++ b/gateway/state/view_message.c
@@ -7,19 +7,18 @@
 
 #include "base/xmalloc.h"
 
-/* Bytes of an object on the wire beside its name and body: tags, lengths, a revision of up to 9
- * bytes (the protobuf encoding). */
+/* Encoded size of an object beyond its name and body: tags, lengths and a revision of up to 9
+ * bytes. */
 enum { ITEM_OVERHEAD_BYTES = 16 };
 
 enum {
-    /* Bytes of a body from which it is packed: a smaller one is a tenth of a second of the smallest
-     * link of the users' sites even in 26 copies (policy/relay.c). */
+    /* Smaller bodies are sent uncompressed: even 26 copies take only a tenth of a second on a slow
+     * link. */
     BODY_PACK_MIN_BYTES = 4096,
-    /* Of 767 kB of routes level 1 makes 84 kB in 3.4 ms, level 6 65 kB in 8.4 ms; parsing them
-     * takes 24 ms, unpacking 1.7 ms (measured on one core, 4,222 routes). */
+    /* Higher levels take more than twice the CPU time for about a fifth less data. */
     ZLIB_LEVEL = 1,
-    UNPACKED_MAX_BYTES = 16 << 20, /* bytes of a body or a list: guards the memory. Chosen */
-    /* Bytes of a list from which it is packed: below, it fits a packet of the network as it is. */
+    UNPACKED_MAX_BYTES = 16 << 20, /* limits the memory that a message can allocate */
+    /* Smaller lists fit a single network packet uncompressed. */
     LIST_PACK_MIN_BYTES = 1400,
 };
 
@@ -68,7 +67,7 @@
     return true;
 }
 
-/* NULL if they do not get smaller; free() the result. */
+/* Returns NULL if compression does not reduce the size. The caller frees the result. */
 static uint8_t *
 pack_bytes(const uint8_t *bytes, size_t len, size_t *packed_len)
 {
@@ -82,7 +81,7 @@
     return packed;
 }
 
-/* NULL if they are not what was packed; free() the result. */
+/* Returns NULL if the data is invalid or of another length. The caller frees the result. */
 static uint8_t *
 unpack_bytes(const ProtobufCBinaryData *packed, size_t len)
 {
@@ -176,7 +175,7 @@
     return true;
 }
 
-/* Takes the objects out of the packed list into the update. */
+/* Moves the objects of the compressed list into the update. */
 static bool
 unpack_list(Iris__ViewUpdate *update)
 {
@@ -189,7 +188,7 @@
     free(plain);
     if (list == NULL)
         return false;
-    free(update->items); /* there are none beside a list */
+    free(update->items); /* empty, as an update has either items or a list */
     update->items = list->items;
     update->n_items = list->n_items;
     list->items = NULL;
--- a/gateway/state/view_message.h
+++ b/gateway/state/view_message.h
@@ -1,12 +1,13 @@
 /*
- * View message: changes of a view, or a whole one, as instances send them to each other
- * (ViewUpdate in peer/peer.proto).
+ * View message: encodes and decodes the view updates that instances send to each other (ViewUpdate
+ * in peer/peer.proto).
  *
- * Bodies and whole lists may be packed for a peer that says it takes them so: an instance may have
- * a link of 10 Mbit/s. Routes pack about ten times, entries of backend servers together five times.
+ * Bodies and whole lists are compressed for peers that accept it, as the link of an instance may
+ * have only 10 Mbit/s. Routes compress about tenfold, entries of backend servers about fivefold
+ * when compressed together.
  *
- * Owns packed bodies; what else is encoded points into the objects, which must live until it is
- * freed. Relies on protobuf-c and zlib.
+ * Owns the compressed data; everything else points into the objects, which must outlive the
+ * message. Depends on protobuf-c and zlib.
  */
 #pragma once
 
@@ -17,29 +18,30 @@
 /* An update ready to be sent. */
 typedef struct {
     Iris__Envelope envelope;
-    Iris__ViewUpdate update; /* kind, revisions, digest and age are the caller's to set */
-    Iris__ViewItem **items;  /* owned; the update's until they are packed together */
+    Iris__ViewUpdate update; /* the caller sets kind, revisions, digest and age */
+    Iris__ViewItem **items;  /* owned; the update uses them until they are compressed as a list */
     size_t item_count;
-    uint8_t *list; /* the objects packed together, or NULL; owned */
-    size_t bytes;  /* of the objects, as they are sent */
+    uint8_t *list; /* compressed list of the objects, or NULL; owned */
+    size_t bytes;  /* size of the objects as sent */
 } view_message_t;
 
-/* In place, since the envelope points into it; free it with view_message_free(). */
+/* Initializes the message in place, since the envelope points into it. Release with
+ * view_message_free(). */
 void view_message_fill(view_message_t *out, const store_item_t *items, size_t count);
-/* An update that came, to be sent on with the same objects: a list that is packed stays so. The
- * update must outlive the message; its objects are left out, so pack it for VIEW_FORMAT_PACKED_LIST
- * only. False if it did not come as a list. */
+/* Prepares a received update for forwarding, with its list still compressed. The update must
+ * outlive the message. The objects are left out, so the message can be packed as
+ * VIEW_FORMAT_PACKED_LIST only. False if the update holds no compressed list. */
 bool view_message_fill_list(view_message_t *out, const Iris__ViewUpdate *update);
-/* Brings the message into the form for such a reader; forms only go up. A packed message is of a
- * kind of its own, which an instance that does not know it leaves. */
+/* Compresses the message for a receiver that accepts `format`. Call with ascending formats only.
+ * Compressed messages have their own envelope type, which older instances ignore. */
 void view_message_pack(view_message_t *message, view_format_t format);
 void view_message_free(view_message_t *message);
-/* Unpacks the objects of an update that came, which then owns them; false if one cannot be. What it
- * came packed in stays, to be sent on. */
+/* Decompresses the objects of a received update, which then owns them. The compressed list is kept
+ * for forwarding. False if the data is invalid. */
 bool view_message_unpack(Iris__ViewUpdate *update);
-/* The objects of an update, which point into it; free() the result. */
+/* Returns the objects of an update. The caller frees the array, which points into the update. */
 store_item_t *view_message_items(const Iris__ViewUpdate *update);
-/* Bytes of the objects of an unpacked update. */
+/* Size of the objects of a decompressed update. */
 size_t view_update_bytes(const Iris__ViewUpdate *update);
-/* The same as they came. */
+/* Size of the objects as received. */
 size_t view_update_wire_bytes(const Iris__ViewUpdate *update);
--- a/gateway/state/view_push.c
+++ b/gateway/state/view_push.c
@@ -12,8 +12,7 @@
 #include "gateway/state/receivers.h"
 #include "gateway/state/view_message.h"
 
-/* Bytes of changes that are sent to other regions; larger ones go to the own region only (commit
- * 2b9bd2c). The figure was chosen. */
+/* Larger changes are sent within the own region only. */
 enum { CROSS_REGION_MAX_BYTES = 60000 };
 
 void
@@ -55,7 +54,8 @@
     return false;
 }
 
-/* Sends the message to those named that take that form; returns the bytes that went out. */
+/* Sends the message to the selected receivers that accept exactly this format. Returns the bytes
+ * sent. */
 static size_t
 send_to(const view_push_t *push, const view_message_t *message, const receivers_t *order,
         const relay_input_t *input, view_format_t format)
@@ -86,8 +86,8 @@
     };
 }
 
-/* Sends the message to those that policy/relay.h names for a change of `bytes` and that take the
- * form `first` or a later one, in the form that each takes; returns the bytes that went out. */
+/* Sends the message to the receivers selected by policy/relay.h for a change of `bytes` that accept
+ * format `first` or a later one, each in its own format. Returns the bytes sent. */
 static size_t
 send_message(const view_push_t *push, view_message_t *message, size_t bytes, bool from_store,
              view_format_t first)
@@ -111,8 +111,8 @@
     return sent;
 }
 
-/* The view's changes since that point; false if they are not known any more. Free the message and
- * the items. */
+/* Encodes the changes of the view since `from`; false if some removals are no longer known. The
+ * caller frees the message and the items. */
 static bool
 fill_changes(view_message_t *out, store_item_t **items, const view_t *view, view_kind_t kind,
              const push_point_t *from)
@@ -137,7 +137,7 @@
 
 /* ---- changes from the store ---- */
 
-/* Where the changes to be sent begin: at the earliest point that makes them no larger. */
+/* Returns the earliest base that does not make the change larger than `bytes`. */
 static push_point_t
 earliest_base(const push_kind_t *state, const view_t *view, view_kind_t kind, size_t bytes)
 {
@@ -206,7 +206,7 @@
     if (!fill_changes(&message, &items, view, kind, &state->from)) {
         LOG_INFO("change not sent on, too many removals: kind=%d from=%llu", kind,
                  (unsigned long long)state->from.at);
-        state->due = false; /* peers that lack them ask */
+        state->due = false; /* peers that miss the changes request them */
         return;
     }
     const size_t bytes = message.bytes;
@@ -216,7 +216,7 @@
         send_changes(push, kind, earliest_base(state, view, kind, bytes));
 }
 
-/* True if the changes since then go along the tree. */
+/* True if the changes since `from` are large enough to be sent along the tree. */
 static bool
 is_large(const view_push_t *push, view_kind_t kind, uint64_t from)
 {
@@ -258,7 +258,7 @@
         send_due(push, kind);
 }
 
-/* The update as it came, for those that take it so. */
+/* Forwards the list as received, still compressed, to receivers that accept it. */
 static bool
 forward_list(const view_push_t *push, const Iris__ViewUpdate *update, size_t bytes)
 {
@@ -270,7 +270,7 @@
     return true;
 }
 
-/* The update made anew of its objects. */
+/* Encodes the objects anew and forwards them. */
 static void
 forward_items(const view_push_t *push, const Iris__ViewUpdate *update, size_t bytes)
 {
@@ -288,11 +288,10 @@
     free(items);
 }
 
-/* Each revision that a change leads up to has a tree of its own (receivers.h), along which it goes
- * once. It goes on also where it was no news, or came over a gap: an instance that has got the same
- * from another watcher's tree cannot tell whether its children have. When it went on only where it
- * was news, half of a region of 98 instances was up to 7 s behind (logs of a day with hundreds of
- * changed entries). */
+/* The change to each revision has its own distribution tree (receivers.h), along which it is
+ * forwarded once. It is forwarded even if it was already known or could not be applied: an instance
+ * that got the same change through another watcher's tree cannot tell whether its children have
+ * it. */
 void
 view_push_forward(view_push_t *push, const Iris__ViewUpdate *update)
 {
--- a/gateway/state/view_push.h
+++ b/gateway/state/view_push.h
@@ -1,17 +1,17 @@
 /*
- * View push: sends changes of the views on to other instances, unasked.
+ * View push: sends changes of the views to other instances unsolicited.
  *
- * What the store brought is sent to all instances, or only to those of the own region if the fleet
- * or the change is large; each region has watchers of its own. policy/relay.h decides who of them
- * sends to whom and how often. An object that changed several times goes once, as it is now, and a
- * change reaches back to earlier ones where that makes it no larger, so that a peer that missed
- * those can still apply it. A peer whose connection does not take what it was sent is left out
- * (peer_offer()); it gets a later change, or asks for what it lacks (view_relay.h).
- * Ahead of a large change of the list of backend servers goes which of them leave (departures.h),
- * straight to all.
+ * Changes read from the store are sent to all instances, or only to those of the own region if the
+ * fleet or the change is large; each region has its own watchers. policy/relay.h decides who sends
+ * to whom and how often. An object that changed several times is sent once, in its current state. A
+ * change may start from an earlier base revision if that does not make it larger, so that a peer
+ * that missed changes can still apply it. A peer whose connection is backed up is skipped
+ * (peer_offer()); it receives a later change or requests what it lacks (view_relay.h). For a large
+ * change of the backend list, the departing backend servers are sent ahead, directly to all
+ * receivers (departures.h).
  *
- * Owns what is to be sent and the pace. Relies on views.h for the objects, on membership/members.h
- * for the peers, on peer/link.h for the connections.
+ * Owns the pending changes and the rate limit. Depends on views.h for the objects, on
+ * membership/members.h for the peers and on peer/link.h for the connections.
  */
 #pragma once
 
@@ -22,10 +22,10 @@
 #include "peer/link.h"
 
 enum {
-    /* Earlier changes that a change may reach back to. Chosen: some seconds of a storm. */
+    /* Earlier base revisions kept per view, covering a few seconds of frequent changes. */
     PUSH_BASES_MAX = 8,
-    /* Changes that are known to have been sent on. Chosen: those of some seconds, of the watchers
-     * of a region. */
+    /* Revisions remembered as already forwarded, covering a few seconds of changes from all
+     * watchers of a region. */
     PUSH_FORWARDED_MAX = 32,
 };
 
@@ -36,24 +36,24 @@
     const views_t *views;
     str_t instance; /* name of this instance */
     size_t region;
-    double link_bytes_per_s; /* of this instance, one direction; 0 if not known */
+    double link_bytes_per_s; /* per direction; 0 if unknown */
 } view_push_conf_t;
 
-/* A revision of a view, and its digest then. */
+/* A revision of a view and its digest at that revision. */
 typedef struct {
     uint64_t at;
     uint64_t digest;
 } push_point_t;
 
-/* Changes of one view. */
+/* State of one view. */
 typedef struct {
-    bool due;                               /* some came from the store and are to be sent */
-    push_point_t from;                      /* they come after this point */
-    uint64_t next_ms;                       /* loop time from which a large change may be sent */
-    push_point_t earlier[PUSH_BASES_MAX];   /* a ring: where the last changes came after */
-    uint64_t earlier_count;                 /* of all time */
-    uint64_t forwarded[PUSH_FORWARDED_MAX]; /* a ring: revisions up to which changes were sent on */
-    uint64_t forwarded_count;               /* of all time */
+    bool due;                               /* changes from the store are pending */
+    push_point_t from;                      /* base of the pending changes */
+    uint64_t next_ms;                       /* loop time before which no large change may be sent */
+    push_point_t earlier[PUSH_BASES_MAX];   /* ring buffer: bases of the last changes sent */
+    uint64_t earlier_count;                 /* total ever recorded */
+    uint64_t forwarded[PUSH_FORWARDED_MAX]; /* ring buffer: revisions already forwarded */
+    uint64_t forwarded_count;               /* total ever recorded */
 } push_kind_t;
 
 typedef struct {
@@ -63,12 +63,12 @@
 } view_push_t;
 
 void view_push_init(view_push_t *push, const view_push_conf_t *conf);
-/* The store brought changes, which the view holds already: sends them as soon as the pace allows.
- * `departures` of the list of backend servers go ahead of a large one. */
+/* Sends changes from the store, already applied to the view, as soon as the rate limit allows.
+ * `departures` in the backend list are sent ahead of a large change. */
 void view_push_changed(view_push_t *push, const view_delta_t *delta,
                        const departures_t *departures);
-/* Regular work: sends what is due. */
+/* Sends pending changes. Called regularly. */
 void view_push_tick(view_push_t *push);
-/* A peer sent changes unasked, which are unpacked: sends them on to those that are this instance's
- * to tell, whether or not they were news here. */
+/* Forwards an unsolicited, already decompressed change from a peer to the receivers assigned to
+ * this instance, even if the change was already known here. */
 void view_push_forward(view_push_t *push, const Iris__ViewUpdate *update);
--- a/gateway/state/view_relay.c
+++ b/gateway/state/view_relay.c
@@ -12,15 +12,14 @@
 #include "gateway/state/view_message.h"
 
 enum {
-    REQUEST_INTERVAL_MS = 600, /* an instance asks for a view at most this often. Chosen */
-    /* A started instance asks those of its own region first: a whole view is some 80 kB. Chosen:
-     * above the time in which they are heard of. */
+    REQUEST_INTERVAL_MS = 600, /* minimum interval between requests for a view */
+    /* A starting instance first asks peers of its own region, as whole views are large. Exceeds the
+     * time in which those peers are discovered. */
     START_OWN_REGION_MS = 600,
-    START_REQUEST_INTERVAL_MS = 200, /* until it knows a view; each time another peer. Chosen */
-    /* Bytes of a view that a peer gets; a larger one it reads from the store. In the sweep at 300
-     * instances whole views of 1 MB made most of the bytes (commit 59548b9). */
+    START_REQUEST_INTERVAL_MS = 200, /* until the view is known */
+    /* A peer that can read the store gets no whole view above this size. */
     WHOLE_MAX_BYTES = 200000,
-    /* No answer is expected to pack to less than this part: routes pack 9 to 12 times. Chosen. */
+    /* Upper bound of the expected compression ratio; routes reach 9 to 12. */
     PACK_RATIO_MAX = 16,
 };
 
@@ -38,9 +37,9 @@
     relay_lag_reached(&relay->kinds[kind].lag, relay->conf.views->items[kind].at);
 }
 
-/* ---- answering a request ---- */
+/* ---- answering requests ---- */
 
-/* False if answers have taken all that they may for now. A whole burst is always enough. */
+/* True if the rate limit has room for an answer of that size. A full burst always suffices. */
 static bool
 has_answer_budget(view_relay_t *relay, size_t bytes)
 {
@@ -58,8 +57,9 @@
     return true;
 }
 
-/* Packs the answer for a peer that takes it so; false if there is no room for it even then: packing
- * a large configuration for each of a region that asks at once would hold up requests. */
+/* Compresses the answer if the peer accepts it. False if the answer would exceed the rate limit
+ * even when compressed; this avoids compressing a large configuration for every peer of a region
+ * that asks at once. */
 static bool
 pack_answer(view_relay_t *relay, view_message_t *message, const Iris__ViewRequest *request)
 {
@@ -72,7 +72,8 @@
     return true;
 }
 
-/* False if the peer is to read the store instead. One without room is refused by send_reply(). */
+/* False if the peer is to read the store instead. An answer beyond the rate limit is dropped by
+ * send_reply(). */
 static bool
 prepare_answer(view_relay_t *relay, view_message_t *message, const Iris__ViewRequest *request)
 {
@@ -95,8 +96,8 @@
                     message->bytes);
 }
 
-/* Answers with what changed since the peer's revision; false if that is not known any more, or is
- * more than a peer sends unless it is needed. */
+/* Answers with the changes since the peer's revision. False if some removals are no longer known,
+ * or if the answer is too large for a peer that can read the store. */
 static bool
 reply_changes(view_relay_t *relay, peer_conn_t *conn, const Iris__ViewRequest *request)
 {
@@ -121,7 +122,7 @@
     return fits;
 }
 
-/* Answers with the view as it was packed for somebody else; false if that is another one. */
+/* Answers with the cached compressed view; false if the cache does not match. */
 static bool
 reply_packed(view_relay_t *relay, peer_conn_t *conn, const Iris__ViewRequest *request)
 {
@@ -159,8 +160,8 @@
     };
 }
 
-/* The whole view, or, if it is too large for a peer that can read the store, an empty answer that
- * tells it to. */
+/* Sends the whole view or, if it is too large for a peer that can read the store, an empty answer
+ * that refers the peer to the store. */
 static void
 reply_whole(view_relay_t *relay, peer_conn_t *conn, const Iris__ViewRequest *request)
 {
@@ -187,12 +188,12 @@
 view_relay_on_request(view_relay_t *relay, peer_conn_t *conn, const Iris__ViewRequest *request)
 {
     if (request->kind >= VIEW_WATCHED || !relay->conf.views->items[request->kind].known)
-        return; /* a newer kind, or nothing to tell: the peer asks somebody else later */
+        return; /* unknown kind, or no data yet: the peer asks another instance later */
     if (!reply_changes(relay, conn, request) && !reply_packed(relay, conn, request))
         reply_whole(relay, conn, request);
 }
 
-/* ---- asking ---- */
+/* ---- sending requests ---- */
 
 static void
 request_view(view_relay_t *relay, view_kind_t kind, const addr_t *peer)
@@ -220,7 +221,7 @@
              request.whole);
 }
 
-/* True if it is time to ask a peer that holds the view. */
+/* True if a request to a peer that holds the view is due. */
 static bool
 should_request(view_relay_t *relay, view_kind_t kind, const member_t *member)
 {
@@ -242,7 +243,7 @@
         view_t *ours = &relay->conf.views->items[kind];
         if (!theirs->known)
             continue;
-        /* A peer that is behind as well says nothing about our own view. */
+        /* A peer that is no newer gives no information about our view. */
         if (ours->known && theirs->at <= ours->at)
             continue;
         if (ours->known && theirs->digest == ours->digest) {
@@ -272,7 +273,7 @@
     return result;
 }
 
-/* The peer sent changes of its own accord. */
+/* Handles an unsolicited change from a peer. */
 static void
 on_pushed_change(view_relay_t *relay, const Iris__ViewUpdate *update, view_result_t result)
 {
@@ -284,7 +285,7 @@
     view_push_forward(relay->conf.push, update);
 }
 
-/* A whole view, and what an instance sends that does not tell ages, may be of any age. */
+/* A whole view, or an update from an instance that does not report ages, can be of any age. */
 static uint64_t
 update_age_ms(const Iris__ViewUpdate *update)
 {
@@ -295,7 +296,7 @@
 view_relay_on_update(view_relay_t *relay, const peer_conn_t *conn, Iris__ViewUpdate *update)
 {
     if (update->kind >= VIEW_WATCHED)
-        return; /* a kind of a newer version */
+        return; /* a kind added by a newer version */
     if (update->at == 0) {
         store_watch_read_once(relay->conf.watch, update->kind);
         return;
