--- a/gateway/state/store_watch.c
+++ b/gateway/state/store_watch.c
@@ -128,7 +128,7 @@
         return;
     watch->in_outage = true;
     watch->outage_ms = now_ms;
-    LOG_WARN("store away for all: failures=%u", watch->failures);
+    LOG_WARN("store outage detected: failures=%u", watch->failures);
 }
 
 /* Records a failed call. A call that started before the store's recovery does not indicate a new
@@ -150,7 +150,7 @@
         return;
     watch->in_outage = false;
     watch->recovered_ms = loop_now(watch->conf.loop);
-    LOG_INFO("store back: sign=%s", sign);
+    LOG_INFO("store outage ended: sign=%s", sign);
 }
 
 /* Updates the store state from the heartbeats of other instances. */
@@ -174,7 +174,7 @@
 cancel_outage(store_watch_t *watch)
 {
     watch->in_outage = false;
-    LOG_INFO("store not away: failures=%u", watch->failures);
+    LOG_INFO("store outage cancelled: failures=%u", watch->failures);
 }
 
 static void
@@ -186,7 +186,7 @@
         cancel_outage(watch);
     end_outage(watch, "answer");
     if (watch->failures > 0)
-        LOG_INFO("store regained: failures=%u", watch->failures);
+        LOG_INFO("store calls recovered: failures=%u", watch->failures);
     watch->failures = 0;
     watch->probe_at_ms = 0;
 }
@@ -219,8 +219,8 @@
     store_watch_t *watch = kind->owner;
     const uint64_t now_ms = loop_now(watch->conf.loop);
     if (watch->failures++ == 0) {
-        LOG_WARN("store lost: kind=%d outcome=%d detail=\"%s\"", kind->kind, answer->outcome,
-                 answer->err.detail);
+        LOG_WARN("store calls failing: kind=%d outcome=%d detail=\"%s\"", kind->kind,
+                 answer->outcome, answer->err.detail);
         watch->last_probed = VIEW_CONFIG; /* probed last, since its answer may be the largest */
     }
     record_failure(watch, kind, now_ms);
@@ -375,7 +375,7 @@
     kind_watch_t *kind = ctx;
     kind->state = WATCH_IDLE;
     if (answer->outcome == STORE_HISTORY_GONE) {
-        LOG_INFO("store forgot its history: kind=%d from=%llu", kind->kind,
+        LOG_INFO("store history unavailable: kind=%d from=%llu", kind->kind,
                  (unsigned long long)kind->watched_from);
         kind->list_needed = true;
         on_store_answered(kind);
--- a/gateway/state/view_push.c
+++ b/gateway/state/view_push.c
@@ -28,10 +28,10 @@
 report_sent(const view_message_t *message, size_t receivers, size_t skipped, bool from_store)
 {
     counter_add(counter_get("irisstall_view_bytes_total", "reason=\"change\"",
-                            "Bytes of objects sent to peers, by what made them go."),
+                            "Bytes of view objects sent to peers, by reason."),
                 message->bytes * receivers);
     if (receivers + skipped > 0)
-        LOG_INFO("change sent on: kind=%u from=%llu at=%llu bytes=%zu receivers=%zu skipped=%zu "
+        LOG_INFO("view change sent: kind=%u from=%llu at=%llu bytes=%zu receivers=%zu skipped=%zu "
                  "source=%s",
                  message->update.kind, (unsigned long long)message->update.from,
                  (unsigned long long)message->update.at, message->bytes, receivers, skipped,
@@ -204,7 +204,7 @@
     view_message_t message;
     store_item_t *items;
     if (!fill_changes(&message, &items, view, kind, &state->from)) {
-        LOG_INFO("change not sent on, too many removals: kind=%d from=%llu", kind,
+        LOG_INFO("view change not sent, removals no longer known: kind=%d from=%llu", kind,
                  (unsigned long long)state->from.at);
         state->due = false; /* peers that miss the changes request them */
         return;
--- a/gateway/state/view_relay.c
+++ b/gateway/state/view_relay.c
@@ -92,7 +92,7 @@
              (unsigned long long)update->at, update->whole, update->n_items, message->bytes);
     if (sent)
         counter_add(counter_get("irisstall_view_bytes_total", "reason=\"request\"",
-                                "Bytes of objects sent to peers, by what made them go."),
+                                "Bytes of view objects sent to peers, by reason."),
                     message->bytes);
 }
 
@@ -302,7 +302,7 @@
         return;
     }
     if (!view_message_unpack(update)) {
-        LOG_WARN("view update not usable: kind=%u at=%llu", update->kind,
+        LOG_WARN("invalid view update: kind=%u at=%llu", update->kind,
                  (unsigned long long)update->at);
         return;
     }
