--- a/test/gateway/test_outage.c
+++ b/test/gateway/test_outage.c
@@ -37,7 +37,7 @@
     views_t views;
     store_watch_t watch;
     catalog_t catalog;
-} rig_t;
+} outage_fixture_t;
 
 static bool
 decode_backend(str_t name, str_t body, backend_info_t *out, err_t *err)
@@ -52,9 +52,9 @@
 on_list_call(void *ctx, view_kind_t kind, str_t after, store_cb_t cb, void *cb_ctx)
 {
     (void)after;
-    rig_t *rig = ctx;
-    rig->cbs[kind] = cb;
-    rig->cb_ctxs[kind] = cb_ctx;
+    outage_fixture_t *fixture = ctx;
+    fixture->cbs[kind] = cb;
+    fixture->cb_ctxs[kind] = cb_ctx;
 }
 
 static void
@@ -69,11 +69,11 @@
 static void
 on_view_change(void *ctx, view_kind_t kind)
 {
-    rig_t *rig = ctx;
-    store_watch_view_changed(&rig->watch);
+    outage_fixture_t *fixture = ctx;
+    store_watch_view_changed(&fixture->watch);
     if (kind == VIEW_BACKENDS)
-        catalog_apply_backends(&rig->catalog, &rig->views.items[kind],
-                               store_watch_outage_state(&rig->watch));
+        catalog_apply_backends(&fixture->catalog, &fixture->views.items[kind],
+                               store_watch_outage_state(&fixture->watch));
 }
 
 static void
@@ -85,37 +85,37 @@
 
 /* Answers the call of a kind that is under way, if there is one. */
 static void
-answer_call(rig_t *rig, view_kind_t kind, const store_answer_t *answer)
+answer_call(outage_fixture_t *fixture, view_kind_t kind, const store_answer_t *answer)
 {
-    const store_cb_t cb = rig->cbs[kind];
-    rig->cbs[kind] = NULL;
+    const store_cb_t cb = fixture->cbs[kind];
+    fixture->cbs[kind] = NULL;
     if (cb != NULL)
-        cb(rig->cb_ctxs[kind], answer);
+        cb(fixture->cb_ctxs[kind], answer);
 }
 
 static void
-pass_ms(rig_t *rig, uint64_t ms)
+advance_ms(outage_fixture_t *fixture, uint64_t ms)
 {
-    rig->loop.time += ms;
-    store_watch_tick(&rig->watch);
-    catalog_tick(&rig->catalog);
+    fixture->loop.time += ms;
+    store_watch_tick(&fixture->watch);
+    catalog_tick(&fixture->catalog);
 }
 
 /* Lets time go by; the store answers all calls, or fails them. */
 static void
-go_by(rig_t *rig, uint64_t ms, bool serves)
+run_store(outage_fixture_t *fixture, uint64_t ms, bool serves)
 {
-    const store_answer_t nothing_new = {.outcome = STORE_OK, .at = rig->revision};
+    const store_answer_t nothing_new = {.outcome = STORE_OK, .at = fixture->revision};
     const store_answer_t failure = {.outcome = STORE_FAILED};
     for (uint64_t passed = 0; passed < ms; passed += TICK_MS) {
-        pass_ms(rig, ms - passed < TICK_MS ? ms - passed : TICK_MS);
+        advance_ms(fixture, ms - passed < TICK_MS ? ms - passed : TICK_MS);
         for (view_kind_t kind = 0; kind < VIEW_WATCHED; kind++)
-            answer_call(rig, kind, serves ? &nothing_new : &failure);
+            answer_call(fixture, kind, serves ? &nothing_new : &failure);
     }
 }
 
 static str_t
-id_of(size_t index)
+backend_id(size_t index)
 {
     static const char *const ids[BACKENDS] = {"i-0", "i-1", "i-2", "i-3"};
     return str_from(ids[index]);
@@ -123,67 +123,69 @@
 
 /* The store tells that entries have come or gone; the watch of the list rests until then. */
 static void
-tell(rig_t *rig, size_t first, size_t count, bool gone)
+deliver_backends(outage_fixture_t *fixture, size_t first, size_t count, bool gone)
 {
     store_item_t items[BACKENDS];
-    rig->revision++;
+    fixture->revision++;
     for (size_t i = 0; i < count; i++)
-        items[i] = (store_item_t){
-            .name = id_of(first + i), .revision = rig->revision, .gone = gone, .body = STR("b")};
+        items[i] = (store_item_t){.name = backend_id(first + i),
+                                  .revision = fixture->revision,
+                                  .gone = gone,
+                                  .body = STR("b")};
     const store_answer_t answer = {
-        .outcome = STORE_OK, .items = items, .item_count = count, .at = rig->revision};
-    while (rig->cbs[VIEW_BACKENDS] == NULL)
-        pass_ms(rig, TICK_MS);
-    answer_call(rig, VIEW_BACKENDS, &answer);
+        .outcome = STORE_OK, .items = items, .item_count = count, .at = fixture->revision};
+    while (fixture->cbs[VIEW_BACKENDS] == NULL)
+        advance_ms(fixture, TICK_MS);
+    answer_call(fixture, VIEW_BACKENDS, &answer);
 }
 
 static bool
-is_usable(const rig_t *rig, size_t index)
+is_usable(const outage_fixture_t *fixture, size_t index)
 {
-    const backend_t *backend = backends_find(&rig->catalog.backends, id_of(index));
-    return backend != NULL && backend_is_usable(backend, loop_now(&rig->loop));
+    const backend_t *backend = backends_find(&fixture->catalog.backends, backend_id(index));
+    return backend != NULL && backend_is_usable(backend, loop_now(&fixture->loop));
 }
 
 /* An instance that knows all backend servers and watches the store. */
-static rig_t *
-new_rig(void)
+static outage_fixture_t *
+new_fixture(void)
 {
     static const decoder_port_t decoder = {.backend = decode_backend};
-    rig_t *rig = xcalloc(1, sizeof(*rig));
-    uv_loop_init(&rig->loop);
-    rig->loop.time = START_MS;
-    rig->port = (store_port_t){.list = on_list_call, .watch = on_watch_call, .ctx = rig};
-    rig->topology = three_regions();
-    rig->views.on_change = on_view_change;
-    rig->views.ctx = rig;
-    catalog_init(&rig->catalog, &rig->loop, &rig->topology, &decoder);
+    outage_fixture_t *fixture = xcalloc(1, sizeof(*fixture));
+    uv_loop_init(&fixture->loop);
+    fixture->loop.time = START_MS;
+    fixture->port = (store_port_t){.list = on_list_call, .watch = on_watch_call, .ctx = fixture};
+    fixture->topology = three_regions();
+    fixture->views.on_change = on_view_change;
+    fixture->views.ctx = fixture;
+    catalog_init(&fixture->catalog, &fixture->loop, &fixture->topology, &decoder);
     const store_watch_conf_t conf = {
-        .loop = &rig->loop,
-        .store = &rig->port,
-        .members = &rig->members,
-        .views = &rig->views,
+        .loop = &fixture->loop,
+        .store = &fixture->port,
+        .members = &fixture->members,
+        .views = &fixture->views,
         .instance = STR("a-1"),
         .on_delta = on_delta,
-        .ctx = rig,
+        .ctx = fixture,
     };
-    store_watch_init(&rig->watch, &conf);
-    pass_ms(rig, 1000);
-    tell(rig, 0, BACKENDS, false);
-    go_by(rig, 1000, true);
-    return rig;
+    store_watch_init(&fixture->watch, &conf);
+    advance_ms(fixture, 1000);
+    deliver_backends(fixture, 0, BACKENDS, false);
+    run_store(fixture, 1000, true);
+    return fixture;
 }
 
 /* An instance of that name, heard just now. */
 static member_t *
-hear_instance(rig_t *rig, const char *addr_text, const char *name, bool failing,
-              uint32_t store_age_ms)
+add_instance(outage_fixture_t *fixture, const char *addr_text, const char *name, bool failing,
+             uint32_t store_age_ms)
 {
     addr_t addr;
     ck_assert(addr_parse(str_from(addr_text), &addr));
-    member_t *peer = members_at(&rig->members, &addr);
+    member_t *peer = members_at(&fixture->members, &addr);
     peer->heard = true;
-    peer->region = rig->watch.conf.region;
-    peer->heard_ms = uv_now(&rig->loop);
+    peer->region = fixture->watch.conf.region;
+    peer->heard_ms = uv_now(&fixture->loop);
     peer->interval_ms = OUTAGE_MS; /* it lives for long */
     peer->store_failing = failing;
     peer->store_age_ms = store_age_ms;
@@ -193,348 +195,350 @@
 
 /* Another instance, heard just now. */
 static member_t *
-hear_peer(rig_t *rig, bool failing, uint32_t store_age_ms)
+add_peer(outage_fixture_t *fixture, bool failing, uint32_t store_age_ms)
 {
-    return hear_instance(rig, "10.0.0.1:1", "a-2", failing, store_age_ms);
+    return add_instance(fixture, "10.0.0.1:1", "a-2", failing, store_age_ms);
 }
 
 /* Lets time go by in which two others, before this instance in the order of the names, watch the
  * store and are served. */
 static void
-go_by_beside_watchers(rig_t *rig, uint64_t ms, bool serves)
+run_store_with_watchers(outage_fixture_t *fixture, uint64_t ms, bool serves)
 {
     for (uint64_t passed = 0; passed < ms; passed += TICK_MS) {
-        hear_instance(rig, "10.0.0.3:1", "a-0-1", false, 100);
-        hear_instance(rig, "10.0.0.4:1", "a-0-2", false, 100);
-        go_by(rig, TICK_MS, serves);
+        add_instance(fixture, "10.0.0.3:1", "a-0-1", false, 100);
+        add_instance(fixture, "10.0.0.4:1", "a-0-2", false, 100);
+        run_store(fixture, TICK_MS, serves);
     }
 }
 
 static void
-free_rig(rig_t *rig)
+free_fixture(outage_fixture_t *fixture)
 {
-    backends_free(&rig->catalog.backends);
+    backends_free(&fixture->catalog.backends);
     for (view_kind_t kind = 0; kind < VIEW_WATCHED; kind++)
-        view_free(&rig->views.items[kind]);
-    members_free(&rig->members);
-    free(rig);
+        view_free(&fixture->views.items[kind]);
+    members_free(&fixture->members);
+    free(fixture);
 }
 
 /* The store is away, entries lapse, and all are back within the platform's time of its return. */
 static void
-have_outage(rig_t *rig)
+run_outage(outage_fixture_t *fixture)
 {
-    go_by(rig, OUTAGE_MS, false);
-    go_by(rig, RETURN_MS, true);
-    tell(rig, 0, BACKENDS, true);
-    go_by(rig, BACK_WITHIN_MS - RETURN_MS, true);
+    run_store(fixture, OUTAGE_MS, false);
+    run_store(fixture, RETURN_MS, true);
+    deliver_backends(fixture, 0, BACKENDS, true);
+    run_store(fixture, BACK_WITHIN_MS - RETURN_MS, true);
     for (size_t i = 0; i < BACKENDS; i++)
-        ck_assert(is_usable(rig, i));
-    tell(rig, 0, BACKENDS, false);
+        ck_assert(is_usable(fixture, i));
+    deliver_backends(fixture, 0, BACKENDS, false);
 }
 
-START_TEST(an_entry_that_goes_well_after_an_outage_is_gone_at_once)
+START_TEST(removal_well_after_outage_is_immediate)
 {
-    rig_t *rig = new_rig();
-    have_outage(rig);
-    go_by(rig, 1000, true);
-    tell(rig, 0, 1, true);
-    ck_assert(!is_usable(rig, 0));
-    ck_assert(is_usable(rig, 1));
-    free_rig(rig);
+    outage_fixture_t *fixture = new_fixture();
+    run_outage(fixture);
+    run_store(fixture, 1000, true);
+    deliver_backends(fixture, 0, 1, true);
+    ck_assert(!is_usable(fixture, 0));
+    ck_assert(is_usable(fixture, 1));
+    free_fixture(fixture);
 }
 END_TEST
 
 /* Each that lapsed is used up to the same moment, however late that is told. */
-START_TEST(the_grace_of_an_outage_ends_once_for_all)
+START_TEST(outage_grace_ends_at_the_same_time_for_all)
 {
-    rig_t *rig = new_rig();
-    go_by(rig, OUTAGE_MS, false);
-    go_by(rig, RETURN_MS, true);
-    const uint64_t return_ms = rig->watch.recovered_ms;
+    outage_fixture_t *fixture = new_fixture();
+    run_store(fixture, OUTAGE_MS, false);
+    run_store(fixture, RETURN_MS, true);
+    const uint64_t return_ms = fixture->watch.recovered_ms;
     ck_assert_uint_gt(return_ms, 0);
-    tell(rig, 0, 1, true);
-    go_by(rig, 600, true);
-    tell(rig, 1, 1, true);
-    go_by(rig, return_ms + GRACE_MS - 1 - uv_now(&rig->loop), true);
-    ck_assert(is_usable(rig, 0) && is_usable(rig, 1));
-    pass_ms(rig, 1);
-    ck_assert(!is_usable(rig, 0) && !is_usable(rig, 1));
-    ck_assert(is_usable(rig, 2));
-    free_rig(rig);
+    deliver_backends(fixture, 0, 1, true);
+    run_store(fixture, 600, true);
+    deliver_backends(fixture, 1, 1, true);
+    run_store(fixture, return_ms + GRACE_MS - 1 - uv_now(&fixture->loop), true);
+    ck_assert(is_usable(fixture, 0) && is_usable(fixture, 1));
+    advance_ms(fixture, 1);
+    ck_assert(!is_usable(fixture, 0) && !is_usable(fixture, 1));
+    ck_assert(is_usable(fixture, 2));
+    free_fixture(fixture);
 }
 END_TEST
 
 /* An entry that was gone, is listed again and goes once more gets no second grace. */
-START_TEST(an_entry_that_goes_twice_gets_no_second_grace)
-{
-    rig_t *rig = new_rig();
-    go_by(rig, OUTAGE_MS, false);
-    go_by(rig, RETURN_MS, true);
-    tell(rig, 0, 1, true);
-    tell(rig, 0, 1, false);
-    go_by(rig, 600, true);
-    tell(rig, 0, 1, true);
-    ck_assert(is_usable(rig, 0));
-    pass_ms(rig, rig->watch.recovered_ms + GRACE_MS - uv_now(&rig->loop));
-    ck_assert(!is_usable(rig, 0));
-    free_rig(rig);
+START_TEST(second_removal_gets_no_second_grace)
+{
+    outage_fixture_t *fixture = new_fixture();
+    run_store(fixture, OUTAGE_MS, false);
+    run_store(fixture, RETURN_MS, true);
+    deliver_backends(fixture, 0, 1, true);
+    deliver_backends(fixture, 0, 1, false);
+    run_store(fixture, 600, true);
+    deliver_backends(fixture, 0, 1, true);
+    ck_assert(is_usable(fixture, 0));
+    advance_ms(fixture, fixture->watch.recovered_ms + GRACE_MS - uv_now(&fixture->loop));
+    ck_assert(!is_usable(fixture, 0));
+    free_fixture(fixture);
 }
 END_TEST
 
-START_TEST(a_second_outage_grants_its_own_time)
-{
-    rig_t *rig = new_rig();
-    have_outage(rig);
-    const uint64_t first_ms = rig->watch.recovered_ms;
-    go_by(rig, 1200, false);
-    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, 0);
-    go_by(rig, RETURN_MS, true);
-    ck_assert_uint_gt(rig->watch.recovered_ms, first_ms);
-    tell(rig, 0, 1, true);
-    ck_assert(is_usable(rig, 0));
-    pass_ms(rig, GRACE_MS);
-    ck_assert(!is_usable(rig, 0));
-    free_rig(rig);
+START_TEST(second_outage_starts_a_new_grace)
+{
+    outage_fixture_t *fixture = new_fixture();
+    run_outage(fixture);
+    const uint64_t first_ms = fixture->watch.recovered_ms;
+    run_store(fixture, 1200, false);
+    ck_assert_uint_eq(store_watch_outage_state(&fixture->watch).since_return_ms, 0);
+    run_store(fixture, RETURN_MS, true);
+    ck_assert_uint_gt(fixture->watch.recovered_ms, first_ms);
+    deliver_backends(fixture, 0, 1, true);
+    ck_assert(is_usable(fixture, 0));
+    advance_ms(fixture, GRACE_MS);
+    ck_assert(!is_usable(fixture, 0));
+    free_fixture(fixture);
 }
 END_TEST
 
 /* This instance's calls fail on; a peer is served again. */
-START_TEST(a_peer_that_is_served_ends_the_outage)
+START_TEST(outage_ends_when_store_serves_a_peer)
 {
-    rig_t *rig = new_rig();
-    hear_peer(rig, true, OUTAGE_MS);
-    go_by(rig, OUTAGE_MS, false);
-    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, 0);
+    outage_fixture_t *fixture = new_fixture();
+    add_peer(fixture, true, OUTAGE_MS);
+    run_store(fixture, OUTAGE_MS, false);
+    ck_assert_uint_eq(store_watch_outage_state(&fixture->watch).since_return_ms, 0);
     /* A restarted peer has not failed yet and has had no answer either. */
-    hear_peer(rig, false, STORE_AGE_NONE);
-    pass_ms(rig, TICK_MS);
-    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, 0);
-    hear_peer(rig, false, 100);
-    go_by(rig, 2900, false);
-    ck_assert_uint_ge(store_watch_outage_state(&rig->watch).since_return_ms, 2500);
-    free_rig(rig);
+    add_peer(fixture, false, STORE_AGE_NONE);
+    advance_ms(fixture, TICK_MS);
+    ck_assert_uint_eq(store_watch_outage_state(&fixture->watch).since_return_ms, 0);
+    add_peer(fixture, false, 100);
+    run_store(fixture, 2900, false);
+    ck_assert_uint_ge(store_watch_outage_state(&fixture->watch).since_return_ms, 2500);
+    free_fixture(fixture);
 }
 END_TEST
 
 /* Nothing is told but the change itself. */
-START_TEST(a_peers_change_ends_the_outage)
-{
-    rig_t *rig = new_rig();
-    hear_peer(rig, true, OUTAGE_MS);
-    go_by(rig, OUTAGE_MS, false);
-    view_t *view = &rig->views.items[VIEW_BACKENDS];
-    const store_item_t gone = {.name = id_of(0), .revision = rig->revision + 1, .gone = true};
+START_TEST(outage_ends_with_change_from_a_peer)
+{
+    outage_fixture_t *fixture = new_fixture();
+    add_peer(fixture, true, OUTAGE_MS);
+    run_store(fixture, OUTAGE_MS, false);
+    view_t *view = &fixture->views.items[VIEW_BACKENDS];
+    const store_item_t gone = {
+        .name = backend_id(0), .revision = fixture->revision + 1, .gone = true};
     ck_assert_int_eq(view_apply(view, &gone, 1, view->at, view->at + 1), VIEW_CHANGED);
-    views_changed(&rig->views, VIEW_BACKENDS, "peer", 0, rig->loop.time);
-    ck_assert(is_usable(rig, 0));
-    pass_ms(rig, GRACE_MS / 2);
-    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, GRACE_MS / 2);
-    pass_ms(rig, GRACE_MS / 2);
-    ck_assert(!is_usable(rig, 0));
-    free_rig(rig);
+    views_changed(&fixture->views, VIEW_BACKENDS, "peer", 0, fixture->loop.time);
+    ck_assert(is_usable(fixture, 0));
+    advance_ms(fixture, GRACE_MS / 2);
+    ck_assert_uint_eq(store_watch_outage_state(&fixture->watch).since_return_ms, GRACE_MS / 2);
+    advance_ms(fixture, GRACE_MS / 2);
+    ck_assert(!is_usable(fixture, 0));
+    free_fixture(fixture);
 }
 END_TEST
 
 /* A call that was begun before the first sign of the return and fails after it says nothing new. */
-START_TEST(a_call_that_hung_does_not_renew_the_outage)
-{
-    rig_t *rig = new_rig();
-    hear_peer(rig, true, OUTAGE_MS);
-    go_by(rig, OUTAGE_MS, false);
-    while (rig->cbs[VIEW_CONFIG] == NULL)
-        pass_ms(rig, TICK_MS);
-    pass_ms(rig, TICK_MS);
-    store_watch_view_changed(&rig->watch);
-    pass_ms(rig, 600);
+START_TEST(stalled_call_does_not_restart_the_outage)
+{
+    outage_fixture_t *fixture = new_fixture();
+    add_peer(fixture, true, OUTAGE_MS);
+    run_store(fixture, OUTAGE_MS, false);
+    while (fixture->cbs[VIEW_CONFIG] == NULL)
+        advance_ms(fixture, TICK_MS);
+    advance_ms(fixture, TICK_MS);
+    store_watch_view_changed(&fixture->watch);
+    advance_ms(fixture, 600);
     const store_answer_t failure = {.outcome = STORE_FAILED};
-    answer_call(rig, VIEW_CONFIG, &failure);
-    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, 600);
+    answer_call(fixture, VIEW_CONFIG, &failure);
+    ck_assert_uint_eq(store_watch_outage_state(&fixture->watch).since_return_ms, 600);
     /* One that was begun after it does. */
-    go_by(rig, 2000, false);
-    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, 0);
-    free_rig(rig);
+    run_store(fixture, 2000, false);
+    ck_assert_uint_eq(store_watch_outage_state(&fixture->watch).since_return_ms, 0);
+    free_fixture(fixture);
 }
 END_TEST
 
-START_TEST(one_that_says_it_leaves_gets_nothing_whatever_the_store_does)
+START_TEST(leaving_backend_gets_no_requests_during_grace)
 {
-    rig_t *rig = new_rig();
-    go_by(rig, OUTAGE_MS, false);
-    go_by(rig, RETURN_MS, true);
-    tell(rig, 0, 2, true);
-    ck_assert(is_usable(rig, 0) && is_usable(rig, 1));
-    const store_item_t back = {.name = id_of(0), .revision = ++rig->revision, .body = STR(LEAVING)};
+    outage_fixture_t *fixture = new_fixture();
+    run_store(fixture, OUTAGE_MS, false);
+    run_store(fixture, RETURN_MS, true);
+    deliver_backends(fixture, 0, 2, true);
+    ck_assert(is_usable(fixture, 0) && is_usable(fixture, 1));
+    const store_item_t back = {
+        .name = backend_id(0), .revision = ++fixture->revision, .body = STR(LEAVING)};
     const store_answer_t answer = {
-        .outcome = STORE_OK, .items = &back, .item_count = 1, .at = rig->revision};
-    while (rig->cbs[VIEW_BACKENDS] == NULL)
-        pass_ms(rig, TICK_MS);
-    answer_call(rig, VIEW_BACKENDS, &answer);
-    ck_assert(!is_usable(rig, 0) && is_usable(rig, 1));
-    free_rig(rig);
+        .outcome = STORE_OK, .items = &back, .item_count = 1, .at = fixture->revision};
+    while (fixture->cbs[VIEW_BACKENDS] == NULL)
+        advance_ms(fixture, TICK_MS);
+    answer_call(fixture, VIEW_BACKENDS, &answer);
+    ck_assert(!is_usable(fixture, 0) && is_usable(fixture, 1));
+    free_fixture(fixture);
 }
 END_TEST
 
 /* The watch ended with the history, and the list that follows lacks an entry. */
-START_TEST(an_entry_that_a_list_lacks_is_gone_at_once)
+START_TEST(entry_missing_from_a_list_is_removed_immediately)
 {
-    rig_t *rig = new_rig();
+    outage_fixture_t *fixture = new_fixture();
     const store_answer_t forgotten = {.outcome = STORE_HISTORY_GONE};
-    while (rig->cbs[VIEW_BACKENDS] == NULL)
-        pass_ms(rig, TICK_MS);
-    answer_call(rig, VIEW_BACKENDS, &forgotten);
-    ck_assert(rig->watch.kinds[VIEW_BACKENDS].state == WATCH_LISTING);
-    tell(rig, 1, BACKENDS - 1, false);
-    ck_assert(!is_usable(rig, 0));
-    ck_assert(is_usable(rig, 1));
-    free_rig(rig);
+    while (fixture->cbs[VIEW_BACKENDS] == NULL)
+        advance_ms(fixture, TICK_MS);
+    answer_call(fixture, VIEW_BACKENDS, &forgotten);
+    ck_assert(fixture->watch.kinds[VIEW_BACKENDS].state == WATCH_LISTING);
+    deliver_backends(fixture, 1, BACKENDS - 1, false);
+    ck_assert(!is_usable(fixture, 0));
+    ck_assert(is_usable(fixture, 1));
+    free_fixture(fixture);
 }
 END_TEST
 
 /* The store fails this instance alone: that is no outage, and nothing lapses. */
-START_TEST(a_store_that_refuses_some_grants_nothing)
+START_TEST(store_failing_for_one_instance_grants_no_grace)
 {
-    rig_t *rig = new_rig();
-    hear_peer(rig, false, 100);
-    go_by(rig, OUTAGE_MS, false);
-    go_by(rig, RETURN_MS, true);
-    ck_assert(store_watch_outage_state(&rig->watch).since_return_ms == REMOVAL_NEVER);
-    tell(rig, 0, 1, true);
-    ck_assert(!is_usable(rig, 0));
-    free_rig(rig);
+    outage_fixture_t *fixture = new_fixture();
+    add_peer(fixture, false, 100);
+    run_store(fixture, OUTAGE_MS, false);
+    run_store(fixture, RETURN_MS, true);
+    ck_assert(store_watch_outage_state(&fixture->watch).since_return_ms == REMOVAL_NEVER);
+    deliver_backends(fixture, 0, 1, true);
+    ck_assert(!is_usable(fixture, 0));
+    free_fixture(fixture);
 }
 END_TEST
 
 /* The store has answered all along: nothing can have lapsed, however much goes together. */
-START_TEST(many_entries_that_go_in_a_calm_time_are_gone_at_once)
+START_TEST(mass_removal_without_failure_is_immediate)
 {
-    rig_t *rig = new_rig();
-    tell(rig, 0, BACKENDS, true);
+    outage_fixture_t *fixture = new_fixture();
+    deliver_backends(fixture, 0, BACKENDS, true);
     for (size_t i = 0; i < BACKENDS; i++)
-        ck_assert(!is_usable(rig, i));
-    free_rig(rig);
+        ck_assert(!is_usable(fixture, i));
+    free_fixture(fixture);
 }
 END_TEST
 
 /* The outage is too short to be known for one, here or by the peer that was failed. */
-START_TEST(many_entries_that_go_near_a_failure_are_used_for_a_while)
+START_TEST(mass_removal_near_a_failure_gets_grace)
 {
     for (int by_peer = 0; by_peer < 2; by_peer++) {
-        rig_t *rig = new_rig();
-        hear_peer(rig, by_peer, 100);
-        go_by(rig, TICK_MS, by_peer);
-        go_by(rig, RETURN_MS, true);
-        ck_assert(store_watch_outage_state(&rig->watch).since_return_ms == REMOVAL_NEVER);
-        tell(rig, 0, BACKENDS, true);
-        pass_ms(rig, MASS_LOSS_MS - 1);
-        ck_assert(is_usable(rig, 0));
-        pass_ms(rig, 1);
-        ck_assert(!is_usable(rig, 0));
-        free_rig(rig);
+        outage_fixture_t *fixture = new_fixture();
+        add_peer(fixture, by_peer, 100);
+        run_store(fixture, TICK_MS, by_peer);
+        run_store(fixture, RETURN_MS, true);
+        ck_assert(store_watch_outage_state(&fixture->watch).since_return_ms == REMOVAL_NEVER);
+        deliver_backends(fixture, 0, BACKENDS, true);
+        advance_ms(fixture, MASS_LOSS_MS - 1);
+        ck_assert(is_usable(fixture, 0));
+        advance_ms(fixture, 1);
+        ck_assert(!is_usable(fixture, 0));
+        free_fixture(fixture);
     }
 }
 END_TEST
 
 /* Most instances of a large fleet never call the store: they hear of its outage from those that do,
  * and of its return. */
-START_TEST(an_outage_is_known_to_who_does_not_call_the_store)
+START_TEST(outage_is_detected_without_own_store_calls)
 {
     static const char *const addrs[] = {"10.0.0.3:1", "10.0.0.4:1", "10.0.0.5:1", "10.0.0.6:1"};
     static const char *const names[] = {"a-0-1", "a-0-2", "a-0-3", "a-0-4"};
     enum { WITNESSES = ALEN(names), HALF_MS = TICK_MS / 2 };
-    rig_t *rig = new_rig();
-    go_by_beside_watchers(rig, 2 * FALLBACK_MS, true);
-    ck_assert(!rig->watch.watching);
-    hear_instance(rig, "10.0.0.7:1", "a-0-5", false, STORE_AGE_NONE);
-    hear_instance(rig, "10.0.0.8:1", "a-0-6", false, STORE_AGE_NONE);
+    outage_fixture_t *fixture = new_fixture();
+    run_store_with_watchers(fixture, 2 * FALLBACK_MS, true);
+    ck_assert(!fixture->watch.watching);
+    add_instance(fixture, "10.0.0.7:1", "a-0-5", false, STORE_AGE_NONE);
+    add_instance(fixture, "10.0.0.8:1", "a-0-6", false, STORE_AGE_NONE);
     for (size_t i = 0; i < WITNESSES; i++)
-        hear_instance(rig, addrs[i], names[i], i < WITNESSES - 1, STORE_AGE_NONE);
-    pass_ms(rig, HALF_MS);
-    ck_assert(store_watch_outage_state(&rig->watch).since_return_ms == REMOVAL_NEVER);
-    hear_instance(rig, addrs[WITNESSES - 1], names[WITNESSES - 1], true, STORE_AGE_NONE);
-    pass_ms(rig, HALF_MS);
-    ck_assert(!rig->watch.watching);
-    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, 0);
-    hear_instance(rig, addrs[0], names[0], false, 0);
-    pass_ms(rig, HALF_MS);
-    pass_ms(rig, HALF_MS);
-    ck_assert_uint_eq(store_watch_outage_state(&rig->watch).since_return_ms, HALF_MS);
-    free_rig(rig);
+        add_instance(fixture, addrs[i], names[i], i < WITNESSES - 1, STORE_AGE_NONE);
+    advance_ms(fixture, HALF_MS);
+    ck_assert(store_watch_outage_state(&fixture->watch).since_return_ms == REMOVAL_NEVER);
+    add_instance(fixture, addrs[WITNESSES - 1], names[WITNESSES - 1], true, STORE_AGE_NONE);
+    advance_ms(fixture, HALF_MS);
+    ck_assert(!fixture->watch.watching);
+    ck_assert_uint_eq(store_watch_outage_state(&fixture->watch).since_return_ms, 0);
+    add_instance(fixture, addrs[0], names[0], false, 0);
+    advance_ms(fixture, HALF_MS);
+    advance_ms(fixture, HALF_MS);
+    ck_assert_uint_eq(store_watch_outage_state(&fixture->watch).since_return_ms, HALF_MS);
+    free_fixture(fixture);
 }
 END_TEST
 
 /* Peers send an instance that the store fails whole views, however large. */
-START_TEST(an_instance_that_does_not_watch_notices_the_return)
+START_TEST(recovery_is_detected_without_watching)
 {
     enum { LOOK_MS = 4000 };
-    rig_t *rig = new_rig();
-    go_by(rig, OUTAGE_MS, false);
-    go_by_beside_watchers(rig, OUTAGE_MS, false);
-    ck_assert(store_watch_is_failing(&rig->watch));
-    ck_assert(!rig->watch.watching);
-    go_by_beside_watchers(rig, LOOK_MS, true);
-    ck_assert(!store_watch_is_failing(&rig->watch));
-    free_rig(rig);
+    outage_fixture_t *fixture = new_fixture();
+    run_store(fixture, OUTAGE_MS, false);
+    run_store_with_watchers(fixture, OUTAGE_MS, false);
+    ck_assert(store_watch_is_failing(&fixture->watch));
+    ck_assert(!fixture->watch.watching);
+    run_store_with_watchers(fixture, LOOK_MS, true);
+    ck_assert(!store_watch_is_failing(&fixture->watch));
+    free_fixture(fixture);
 }
 END_TEST
 
 /* The configuration alone gets no answers or ones of no use; the list of backends is served. */
-START_TEST(one_kind_that_fails_is_no_outage)
+START_TEST(failure_of_one_kind_is_no_outage)
 {
     static const store_outcome_t outcomes[] = {STORE_UNUSABLE, STORE_FAILED};
-    rig_t *rig = new_rig();
+    outage_fixture_t *fixture = new_fixture();
     const store_answer_t failure = {.outcome = outcomes[_i]};
-    while (rig->cbs[VIEW_BACKENDS] == NULL || rig->cbs[VIEW_CLOSURES] == NULL)
-        pass_ms(rig, TICK_MS);
+    while (fixture->cbs[VIEW_BACKENDS] == NULL || fixture->cbs[VIEW_CLOSURES] == NULL)
+        advance_ms(fixture, TICK_MS);
     for (int i = 0; i < 8; i++) {
-        pass_ms(rig, TICK_MS);
-        answer_call(rig, VIEW_CONFIG, &failure);
+        advance_ms(fixture, TICK_MS);
+        answer_call(fixture, VIEW_CONFIG, &failure);
     }
-    tell(rig, 0, 1, true);
-    ck_assert(!is_usable(rig, 0));
-    free_rig(rig);
+    deliver_backends(fixture, 0, 1, true);
+    ck_assert(!is_usable(fixture, 0));
+    free_fixture(fixture);
 }
 END_TEST
 
 /* It stood still during the outage and has not failed yet. */
-START_TEST(a_peer_with_an_old_answer_does_not_end_the_outage)
-{
-    rig_t *rig = new_rig();
-    hear_peer(rig, true, OUTAGE_MS);
-    go_by(rig, OUTAGE_MS, false);
-    hear_peer(rig, false, 5000);
-    go_by(rig, 3000, false);
-    go_by(rig, 400, true);
-    tell(rig, 0, 1, true);
-    ck_assert(is_usable(rig, 0));
-    free_rig(rig);
+START_TEST(peer_with_old_answer_does_not_end_the_outage)
+{
+    outage_fixture_t *fixture = new_fixture();
+    add_peer(fixture, true, OUTAGE_MS);
+    run_store(fixture, OUTAGE_MS, false);
+    add_peer(fixture, false, 5000);
+    run_store(fixture, 3000, false);
+    run_store(fixture, 400, true);
+    deliver_backends(fixture, 0, 1, true);
+    ck_assert(is_usable(fixture, 0));
+    free_fixture(fixture);
 }
 END_TEST
 
-START_TEST(the_age_of_the_stores_answer_counts_a_suspension)
+START_TEST(store_answer_age_includes_suspension)
 {
     enum { SUSPENDED_MS = 6000 };
-    rig_t *rig = new_rig();
-    go_by(rig, 1000, true);
-    const uint32_t age_ms = store_watch_age_ms(&rig->watch);
+    outage_fixture_t *fixture = new_fixture();
+    run_store(fixture, 1000, true);
+    const uint32_t age_ms = store_watch_age_ms(&fixture->watch);
     ck_assert_uint_lt(age_ms, SUSPENDED_MS);
     loop_time_suspend(SUSPENDED_MS);
-    ck_assert_uint_ge(store_watch_age_ms(&rig->watch), age_ms + SUSPENDED_MS);
-    free_rig(rig);
+    ck_assert_uint_ge(store_watch_age_ms(&fixture->watch), age_ms + SUSPENDED_MS);
+    free_fixture(fixture);
 }
 END_TEST
 
-START_TEST(what_is_missing_after_an_outage_goes_by_the_time_that_passed)
+START_TEST(outage_grace_includes_suspension)
 {
-    rig_t *rig = new_rig();
-    go_by(rig, 5000, false);
-    go_by(rig, 400, true);
-    tell(rig, 0, 1, true);
-    ck_assert(is_usable(rig, 0)); /* for a moment, as its entry may come back */
+    outage_fixture_t *fixture = new_fixture();
+    run_store(fixture, 5000, false);
+    run_store(fixture, 400, true);
+    deliver_backends(fixture, 0, 1, true);
+    ck_assert(is_usable(fixture, 0)); /* for a moment, as its entry may come back */
     loop_time_suspend(6000);
-    catalog_tick(&rig->catalog);
-    ck_assert(!is_usable(rig, 0));
-    free_rig(rig);
+    catalog_tick(&fixture->catalog);
+    ck_assert(!is_usable(fixture, 0));
+    free_fixture(fixture);
 }
 END_TEST
 
@@ -543,24 +547,24 @@
 {
     Suite *suite = suite_create("gateway: outage");
     TCase *tests = tcase_create("outage");
-    tcase_add_test(tests, the_age_of_the_stores_answer_counts_a_suspension);
-    tcase_add_test(tests, what_is_missing_after_an_outage_goes_by_the_time_that_passed);
-    tcase_add_test(tests, an_entry_that_goes_well_after_an_outage_is_gone_at_once);
-    tcase_add_test(tests, the_grace_of_an_outage_ends_once_for_all);
-    tcase_add_test(tests, an_entry_that_goes_twice_gets_no_second_grace);
-    tcase_add_test(tests, a_second_outage_grants_its_own_time);
-    tcase_add_test(tests, a_peer_that_is_served_ends_the_outage);
-    tcase_add_test(tests, a_peers_change_ends_the_outage);
-    tcase_add_test(tests, a_call_that_hung_does_not_renew_the_outage);
-    tcase_add_test(tests, one_that_says_it_leaves_gets_nothing_whatever_the_store_does);
-    tcase_add_test(tests, an_entry_that_a_list_lacks_is_gone_at_once);
-    tcase_add_test(tests, a_store_that_refuses_some_grants_nothing);
-    tcase_add_test(tests, many_entries_that_go_in_a_calm_time_are_gone_at_once);
-    tcase_add_test(tests, many_entries_that_go_near_a_failure_are_used_for_a_while);
-    tcase_add_test(tests, an_outage_is_known_to_who_does_not_call_the_store);
-    tcase_add_test(tests, an_instance_that_does_not_watch_notices_the_return);
-    tcase_add_loop_test(tests, one_kind_that_fails_is_no_outage, 0, 2);
-    tcase_add_test(tests, a_peer_with_an_old_answer_does_not_end_the_outage);
+    tcase_add_test(tests, store_answer_age_includes_suspension);
+    tcase_add_test(tests, outage_grace_includes_suspension);
+    tcase_add_test(tests, removal_well_after_outage_is_immediate);
+    tcase_add_test(tests, outage_grace_ends_at_the_same_time_for_all);
+    tcase_add_test(tests, second_removal_gets_no_second_grace);
+    tcase_add_test(tests, second_outage_starts_a_new_grace);
+    tcase_add_test(tests, outage_ends_when_store_serves_a_peer);
+    tcase_add_test(tests, outage_ends_with_change_from_a_peer);
+    tcase_add_test(tests, stalled_call_does_not_restart_the_outage);
+    tcase_add_test(tests, leaving_backend_gets_no_requests_during_grace);
+    tcase_add_test(tests, entry_missing_from_a_list_is_removed_immediately);
+    tcase_add_test(tests, store_failing_for_one_instance_grants_no_grace);
+    tcase_add_test(tests, mass_removal_without_failure_is_immediate);
+    tcase_add_test(tests, mass_removal_near_a_failure_gets_grace);
+    tcase_add_test(tests, outage_is_detected_without_own_store_calls);
+    tcase_add_test(tests, recovery_is_detected_without_watching);
+    tcase_add_loop_test(tests, failure_of_one_kind_is_no_outage, 0, 2);
+    tcase_add_test(tests, peer_with_old_answer_does_not_end_the_outage);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_store.c
+++ b/test/gateway/test_store.c
@@ -8,7 +8,7 @@
 #include "test/suites.h"
 #include "wire/fetch.h"
 
-START_TEST(a_change_of_configuration_comes_into_force)
+START_TEST(configuration_change_is_applied)
 {
     site_t *site = new_ready_site(1);
     ck_assert_int_eq(ask(site, "GET", "/new/x").status, 404);
@@ -23,7 +23,7 @@
 
 /* True once a request for `path` gets that status; false if it does not in a generous time. */
 static bool
-gets(site_t *site, const char *path, int status)
+wait_for_status(site_t *site, const char *path, int status)
 {
     const uint64_t until_ms = uv_now(&site->loop) + PATIENCE_MS;
     while (ask(site, "GET", path).status != status) {
@@ -34,18 +34,18 @@
 }
 
 /* As many routes as an object of the store holds (1 MiB). */
-START_TEST(a_configuration_of_many_routes_comes_into_force)
+START_TEST(configuration_with_many_routes_is_applied)
 {
     site_t *site = new_ready_site(1);
     ck_assert_int_eq(ask(site, "GET", "/many/5999/x").status, 404);
     site->extra_routes = 6000;
     put_config(site, NULL);
-    ck_assert(gets(site, "/many/5999/x", 200));
+    ck_assert(wait_for_status(site, "/many/5999/x", 200));
     ck_assert_int_eq(ask(site, "GET", "/many/0/x").status, 200);
 }
 END_TEST
 
-START_TEST(a_broken_configuration_changes_nothing)
+START_TEST(invalid_configuration_is_ignored)
 {
     site_t *site = new_ready_site(1);
     standin_store_put(site->store, "config", "main", json_pack("{s:{s:{}}}", "routes", "r"), NULL);
@@ -57,7 +57,7 @@
 }
 END_TEST
 
-START_TEST(leaving_gone_and_closed_backends_get_nothing)
+START_TEST(draining_removed_and_evacuated_backends_get_no_requests)
 {
     site_t *site = new_ready_site(2);
     put_backend(site, &site->backends[0], "draining");
@@ -74,11 +74,11 @@
     ck_assert_uint_eq(all_runs(site), before);
     /* Taken back: cold for a while, then served again. */
     standin_store_remove(site->store, "evacuations", "a1");
-    ck_assert(gets(site, "/safe/x", 200)); /* asked once: the next one would be paced */
+    ck_assert(wait_for_status(site, "/safe/x", 200)); /* asked once: the next one would be paced */
 }
 END_TEST
 
-START_TEST(lists_come_in_pages)
+START_TEST(paged_lists_are_read_completely)
 {
     site_t *site = new_site(3);
     standin_store_set_page(site->store, 2);
@@ -91,7 +91,7 @@
 }
 END_TEST
 
-START_TEST(a_store_in_trouble_changes_nothing)
+START_TEST(store_failure_modes_do_not_affect_requests)
 {
     static const standin_store_mode_t modes[] = {STANDIN_STORE_BUSY, STANDIN_STORE_MANY,
                                                  STANDIN_STORE_RESETS, STANDIN_STORE_GARBLES,
@@ -119,7 +119,7 @@
     RUN_UNTIL(site, uv_now(&site->loop) >= until_ms);
 }
 
-START_TEST(a_backend_that_leaves_after_an_outage_gets_nothing)
+START_TEST(backend_removed_after_outage_gets_no_requests)
 {
     /* Of the removal; with the grace of an outage it takes 2,200 ms. */
     enum { GONE_WITHIN_MS = 1500 };
@@ -150,7 +150,7 @@
 
 /* Asks until the answer has that status; false after PATIENCE_MS. */
 static bool
-comes_to_answer(site_t *site, const char *path, int status)
+status_is_reached(site_t *site, const char *path, int status)
 {
     const uint64_t until_ms = uv_now(&site->loop) + PATIENCE_MS;
     while (uv_now(&site->loop) < until_ms) {
@@ -161,9 +161,9 @@
 }
 
 static bool
-comes_into_force(site_t *site, const char *path)
+config_is_applied(site_t *site, const char *path)
 {
-    return comes_to_answer(site, path, 200);
+    return status_is_reached(site, path, 200);
 }
 
 /* The store is out, and the instance has noticed. */
@@ -175,23 +175,23 @@
     RUN_UNTIL(site, standin_store_calls(site->store) > calls + 2);
 }
 
-START_TEST(a_slow_answer_is_read_to_its_end)
+START_TEST(slow_store_answer_is_read_completely)
 {
     site_t *site = new_site(1);
     standin_store_set_pace(site->store, PIECE, PIECE_PAUSE_MS);
     site->extra_routes = MANY_ROUTES;
     put_config(site, NULL);
     use_gateway(site, start_gateway(site, "g-1", &site->store_port, NULL));
-    ck_assert(comes_into_force(site, "/safe/x"));
+    ck_assert(config_is_applied(site, "/safe/x"));
     /* The same with a change that was made in an outage. */
     begin_outage(site);
     put_config(site, "/new/");
     standin_store_set_mode(site->store, STANDIN_STORE_SERVES);
-    ck_assert(comes_into_force(site, "/new/x"));
+    ck_assert(config_is_applied(site, "/new/x"));
 }
 END_TEST
 
-START_TEST(an_answer_that_stops_is_given_up)
+START_TEST(stalled_store_answer_times_out)
 {
     site_t *site = new_ready_site(1);
     standin_store_set_pace(site->store, PIECE, PATIENCE_MS * 10);
@@ -200,11 +200,11 @@
     const uint64_t calls = standin_store_calls(site->store);
     RUN_UNTIL(site, standin_store_calls(site->store) > calls);
     standin_store_set_pace(site->store, 0, 0);
-    ck_assert(comes_into_force(site, "/new/x"));
+    ck_assert(config_is_applied(site, "/new/x"));
 }
 END_TEST
 
-START_TEST(a_kind_without_an_answer_does_not_hold_up_another)
+START_TEST(kind_without_answer_does_not_block_others)
 {
     static const char *const held[] = {"config", "servers", "evacuations"};
     for (size_t i = 0; i < ALEN(held); i++) {
@@ -214,16 +214,16 @@
         standin_store_set_mode(site->store, STANDIN_STORE_SERVES);
         if (strcmp(held[i], "servers") != 0) {
             put_backend(site, &site->backends[0], "draining");
-            ck_assert(comes_to_answer(site, "/safe/x", 503));
+            ck_assert(status_is_reached(site, "/safe/x", 503));
         } else {
             put_config(site, "/new/");
-            ck_assert(comes_into_force(site, "/new/x"));
+            ck_assert(config_is_applied(site, "/new/x"));
         }
     }
 }
 END_TEST
 
-START_TEST(versions_too_many_for_one_answer_are_passed_over)
+START_TEST(oversized_watch_answer_falls_back_to_list)
 {
     enum { VERSIONS = 60 }; /* 5 MB */
     site_t *site = new_ready_site(1);
@@ -232,11 +232,11 @@
     for (unsigned i = 0; i < VERSIONS; i++)
         put_config(site, "/new/");
     standin_store_set_mode(site->store, STANDIN_STORE_SERVES);
-    ck_assert(comes_into_force(site, "/new/x"));
+    ck_assert(config_is_applied(site, "/new/x"));
 }
 END_TEST
 
-START_TEST(a_kind_whose_watch_is_rejected_is_listed)
+START_TEST(rejected_watch_falls_back_to_list)
 {
     static const int statuses[] = {400, 404, 500};
     for (size_t i = 0; i < ALEN(statuses); i++) {
@@ -245,7 +245,7 @@
         put_config(site, "/new/");
         standin_store_fail_watches(site->store, statuses[i]);
         standin_store_set_mode(site->store, STANDIN_STORE_SERVES);
-        ck_assert(comes_into_force(site, "/new/x"));
+        ck_assert(config_is_applied(site, "/new/x"));
     }
 }
 END_TEST
@@ -256,18 +256,18 @@
     Suite *suite = suite_create("gateway: store");
     TCase *tests = tcase_create("store");
     tcase_set_timeout(tests, 120);
-    tcase_add_test(tests, a_change_of_configuration_comes_into_force);
-    tcase_add_test(tests, a_configuration_of_many_routes_comes_into_force);
-    tcase_add_test(tests, a_broken_configuration_changes_nothing);
-    tcase_add_test(tests, leaving_gone_and_closed_backends_get_nothing);
-    tcase_add_test(tests, lists_come_in_pages);
-    tcase_add_test(tests, a_store_in_trouble_changes_nothing);
-    tcase_add_test(tests, a_backend_that_leaves_after_an_outage_gets_nothing);
-    tcase_add_test(tests, a_slow_answer_is_read_to_its_end);
-    tcase_add_test(tests, an_answer_that_stops_is_given_up);
-    tcase_add_test(tests, a_kind_without_an_answer_does_not_hold_up_another);
-    tcase_add_test(tests, versions_too_many_for_one_answer_are_passed_over);
-    tcase_add_test(tests, a_kind_whose_watch_is_rejected_is_listed);
+    tcase_add_test(tests, configuration_change_is_applied);
+    tcase_add_test(tests, configuration_with_many_routes_is_applied);
+    tcase_add_test(tests, invalid_configuration_is_ignored);
+    tcase_add_test(tests, draining_removed_and_evacuated_backends_get_no_requests);
+    tcase_add_test(tests, paged_lists_are_read_completely);
+    tcase_add_test(tests, store_failure_modes_do_not_affect_requests);
+    tcase_add_test(tests, backend_removed_after_outage_gets_no_requests);
+    tcase_add_test(tests, slow_store_answer_is_read_completely);
+    tcase_add_test(tests, stalled_store_answer_times_out);
+    tcase_add_test(tests, kind_without_answer_does_not_block_others);
+    tcase_add_test(tests, oversized_watch_answer_falls_back_to_list);
+    tcase_add_test(tests, rejected_watch_falls_back_to_list);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_view.c
+++ b/test/gateway/test_view.c
@@ -12,7 +12,7 @@
         .name = str_from(name), .revision = revision, .gone = gone, .body = STR("{}")};
 }
 
-START_TEST(view_moves_forward_only)
+START_TEST(view_ignores_older_lists_and_detects_gaps)
 {
     view_t view = {0};
     const store_item_t first[] = {item("a", 3, false), item("b", 5, false)};
@@ -32,7 +32,7 @@
 }
 END_TEST
 
-START_TEST(view_gone_is_not_undone_by_an_older_change)
+START_TEST(late_removal_does_not_delete_recreated_object)
 {
     view_t view = {0};
     const store_item_t first[] = {item("a", 3, false)};
@@ -47,7 +47,7 @@
 }
 END_TEST
 
-START_TEST(view_digests_agree_on_any_path)
+START_TEST(view_digest_is_equal_for_list_and_changes)
 {
     view_t listed = {0};
     view_t followed = {0};
@@ -67,7 +67,7 @@
 }
 END_TEST
 
-START_TEST(view_tells_what_changed_since)
+START_TEST(view_since_returns_changes_and_removals)
 {
     view_t view = {0};
     size_t count;
@@ -96,7 +96,7 @@
 END_TEST
 
 /* However many objects changed: only removals are kept apart, and so many of them. */
-START_TEST(view_tells_many_changes_but_not_all_removals)
+START_TEST(view_since_is_limited_by_the_removal_ring)
 {
     enum { MANY = 2 * VIEW_REMOVALS_MAX };
     view_t view = {0};
@@ -128,7 +128,7 @@
 END_TEST
 
 /* Found on the users' bench: a peer that was behind got 19 versions of one object. */
-START_TEST(view_tells_each_object_once)
+START_TEST(view_since_returns_each_object_once)
 {
     view_t view = {0};
     size_t count;
@@ -164,12 +164,12 @@
 {
     Suite *suite = suite_create("gateway: view");
     TCase *tests = tcase_create("view");
-    tcase_add_test(tests, view_moves_forward_only);
-    tcase_add_test(tests, view_gone_is_not_undone_by_an_older_change);
-    tcase_add_test(tests, view_digests_agree_on_any_path);
-    tcase_add_test(tests, view_tells_what_changed_since);
-    tcase_add_test(tests, view_tells_many_changes_but_not_all_removals);
-    tcase_add_test(tests, view_tells_each_object_once);
+    tcase_add_test(tests, view_ignores_older_lists_and_detects_gaps);
+    tcase_add_test(tests, late_removal_does_not_delete_recreated_object);
+    tcase_add_test(tests, view_digest_is_equal_for_list_and_changes);
+    tcase_add_test(tests, view_since_returns_changes_and_removals);
+    tcase_add_test(tests, view_since_is_limited_by_the_removal_ring);
+    tcase_add_test(tests, view_since_returns_each_object_once);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_view_relay.c
+++ b/test/gateway/test_view_relay.c
@@ -28,24 +28,24 @@
     size_t to_count;
     addr_t address; /* where the gateway reaches the peer */
     uv_timer_t timer;
-    uint64_t at;          /* revision of the configuration that its heartbeats tell */
-    uint64_t late;        /* revision up to which it sends changes, one a heartbeat; 0: none */
-    size_t requests;      /* for the configuration, of a view that is known already */
-    size_t pushes;        /* changes of the configuration that it was sent */
-    uint64_t from;        /* of the last one: the changes came after this revision */
-    uint64_t up_to;       /* and led up to this one */
-    unsigned version;     /* of the configuration that it brought */
-    bool unpacks;         /* its messages say that it takes packed bodies */
-    size_t sent_away;     /* answers that told it to read the store */
-    size_t packed;        /* changes and answers that came so */
-    bool silent;          /* it sends no heartbeats any more */
-    bool reads_lists;     /* its messages say that it takes lists packed together */
-    size_t lists;         /* changes that came so */
-    size_t departed;      /* backend servers that it was told of ahead of a change */
-    bool announced;       /* it says that the store has its entry */
-    uint64_t life;        /* its incarnation; 0: the first */
-    bool heard_announced; /* it was told that it said so in an earlier life */
-    size_t addresses;     /* of instances that it was told */
+    uint64_t at;               /* revision of the configuration that its heartbeats tell */
+    uint64_t next_change_from; /* revision up to which it sends changes, one a heartbeat; 0: none */
+    size_t requests;           /* for the configuration, of a view that is known already */
+    size_t pushes;             /* changes of the configuration that it was sent */
+    uint64_t from_received;    /* of the last one: the changes came after this revision */
+    uint64_t at_received;      /* and led up to this one */
+    unsigned version;          /* of the configuration that it brought */
+    bool unpacks;              /* its messages say that it takes packed bodies */
+    size_t store_referrals;    /* answers that told it to read the store */
+    size_t packed_bodies;      /* changes and answers that came so */
+    bool silent;               /* it sends no heartbeats any more */
+    bool reads_lists;          /* its messages say that it takes lists packed together */
+    size_t packed_lists;       /* changes that came so */
+    size_t departures_received; /* backend servers that it was told of ahead of a change */
+    bool announced;             /* it says that the store has its entry */
+    uint64_t restarts;          /* its incarnation; 0: the first */
+    bool heard_announced;       /* it was told that it said so in an earlier life */
+    size_t addresses_received;  /* of instances that it was told */
 } peer_t;
 
 static void
@@ -64,7 +64,7 @@
     addr_format(&peer->address, address);
     heartbeat.instance = "p-1";
     heartbeat.place = "a1";
-    heartbeat.incarnation = 1 + peer->life;
+    heartbeat.incarnation = 1 + peer->restarts;
     heartbeat.announced = peer->announced;
     heartbeat.was_announced = peer->announced;
     heartbeat.reads_lists = peer->reads_lists;
@@ -130,7 +130,7 @@
 
 /* The version that stands in a configuration. */
 static unsigned
-version_of(const Iris__ViewItem *item)
+config_version(const Iris__ViewItem *item)
 {
     json_t *object = json_loadb((const char *)item->body.data, item->body.len, 0, NULL);
     const json_t *version = json_object_get(json_object_get(object, "spec"), "version");
@@ -143,19 +143,19 @@
 
 /* Packed bodies come in a kind of message that an older instance leaves, and only there. */
 static Iris__ViewUpdate *
-update_of(peer_t *peer, const Iris__Envelope *message)
+decode_update(peer_t *peer, const Iris__Envelope *message)
 {
     if (message->body_case == IRIS__ENVELOPE__BODY_PACKED_UPDATE) {
         ck_assert(peer->unpacks);
         ck_assert_uint_gt(message->packed_update->items[0]->unpacked_bytes, 0);
-        peer->packed++;
+        peer->packed_bodies++;
         return message->packed_update;
     }
     if (message->body_case == IRIS__ENVELOPE__BODY_LIST_UPDATE) {
         ck_assert(peer->reads_lists);
         ck_assert_uint_eq(message->list_update->n_items, 0);
         ck_assert(view_message_unpack(message->list_update));
-        peer->lists++;
+        peer->packed_lists++;
         return message->list_update;
     }
     if (message->body_case != IRIS__ENVELOPE__BODY_VIEW_UPDATE)
@@ -174,24 +174,24 @@
         message->view_request->kind == VIEW_CONFIG && message->view_request->have > 0)
         peer->requests++;
     if (message->body_case == IRIS__ENVELOPE__BODY_DEPARTURES)
-        peer->departed += message->departures->n_items;
+        peer->departures_received += message->departures->n_items;
     if (message->body_case == IRIS__ENVELOPE__BODY_GATEWAY) {
         peer->heard_announced |= message->gateway->was_announced;
-        peer->addresses += message->gateway->n_peers;
+        peer->addresses_received += message->gateway->n_peers;
     }
-    Iris__ViewUpdate *update = update_of(peer, message);
+    Iris__ViewUpdate *update = decode_update(peer, message);
     if (update == NULL || update->kind != VIEW_CONFIG)
         return;
     if (update->at == 0) {
-        peer->sent_away++;
+        peer->store_referrals++;
         return;
     }
     peer->pushes++;
-    peer->from = update->from;
-    peer->up_to = update->at;
+    peer->from_received = update->from;
+    peer->at_received = update->at;
     ck_assert_uint_eq(update->n_items, 1);
     ck_assert(view_message_unpack(update));
-    peer->version = version_of(update->items[0]);
+    peer->version = config_version(update->items[0]);
 }
 
 static void
@@ -199,10 +199,10 @@
 {
     peer_t *peer = timer->data;
     send_heartbeat(peer);
-    if (peer->late == 0)
+    if (peer->next_change_from == 0)
         return;
-    send_change(peer, peer->late, peer->late + 1);
-    peer->late++;
+    send_change(peer, peer->next_change_from, peer->next_change_from + 1);
+    peer->next_change_from++;
 }
 
 static peer_t *
@@ -249,7 +249,7 @@
 }
 
 static int64_t
-waiting_bytes(void)
+queued_bytes(void)
 {
     return counter_value(counter_get("irisstall_peer_waiting_bytes", NULL, ""));
 }
@@ -267,7 +267,7 @@
 }
 
 static void
-on_time(uv_timer_t *timer)
+on_run_timer(uv_timer_t *timer)
 {
     *(bool *)timer->data = true;
 }
@@ -277,16 +277,16 @@
 run_for(site_t *site, uint64_t ms)
 {
     static uv_timer_t timer;
-    bool over = false;
+    bool expired = false;
     uv_timer_init(&site->loop, &timer);
-    timer.data = &over;
-    uv_timer_start(&timer, on_time, ms, 0);
-    while (!over)
+    timer.data = &expired;
+    uv_timer_start(&timer, on_run_timer, ms, 0);
+    while (!expired)
         uv_run(&site->loop, UV_RUN_ONCE);
 }
 
 /* Changes in quick succession, each a version of the one configuration object. */
-START_TEST(changes_do_not_queue_for_a_peer_that_reads_slowly)
+START_TEST(changes_do_not_queue_for_a_slow_peer)
 {
     enum { ROUTES = 500, ROUNDS = 6, BURST = 10, ROUND_MS = 210, WAITING = 40000 };
     site_t *site = new_ready_site(1);
@@ -303,8 +303,8 @@
         for (int i = 0; i < BURST; i++)
             put_config(site, NULL);
         run_for(site, ROUND_MS);
-        if (waiting_bytes() > most)
-            most = waiting_bytes();
+        if (queued_bytes() > most)
+            most = queued_bytes();
     }
     /* One change, begun when little enough waited, and what that was (peer/link.c). */
     ck_assert_msg(most <= one_change + WAITING, "%lld bytes wait, a change has %lld",
@@ -313,7 +313,7 @@
 END_TEST
 
 /* The peer knows revision 1000; what reaches the instance are changes of long ago. */
-START_TEST(late_changes_do_not_keep_an_instance_from_asking)
+START_TEST(outdated_changes_do_not_suppress_view_requests)
 {
     enum { NEWEST = 1000, FIRST = 100 };
     site_t *site = new_site(1);
@@ -321,14 +321,14 @@
     gateway_t *gateway = start_gateway(site, "g-1", &site->store_port, NULL);
     peer_t *peer = new_peer(site, gateway);
     send_change(peer, 0, FIRST);
-    peer->late = FIRST;
+    peer->next_change_from = FIRST;
     peer->at = NEWEST;
     RUN_UNTIL(site, peer->requests > 0);
 }
 END_TEST
 
 /* A route that is not known here may stand in the configuration that the peer holds. */
-START_TEST(no_route_is_denied_while_a_peer_has_a_newer_configuration)
+START_TEST(unknown_route_gets_503_while_configuration_is_stale)
 {
     enum { NEWER = 1000 };
     site_t *site = new_ready_site(1);
@@ -345,7 +345,7 @@
 END_TEST
 
 /* Nobody has the newer configuration any more. */
-START_TEST(a_lost_peer_leaves_nobody_behind)
+START_TEST(lost_peer_ends_the_stale_configuration_state)
 {
     enum { NEWER = 1000 };
     site_t *site = new_ready_site(1);
@@ -362,7 +362,7 @@
 END_TEST
 
 /* Versions that follow each other go out together, at a pace. */
-START_TEST(changes_keep_to_a_pace)
+START_TEST(large_changes_are_rate_limited)
 {
     /* A change of about 260 kB is followed by a pause of 1 s. */
     enum { ROUTES = 1500, ROUNDS = 14, ROUND_MS = 210, PUSHES_MAX = 5 };
@@ -382,7 +382,7 @@
 END_TEST
 
 /* Many that ask at once do not fill the link of one. */
-START_TEST(answers_keep_to_a_rate)
+START_TEST(view_answers_are_rate_limited)
 {
     enum { ROUTES = 500, REQUESTS = 10, CONFIG_BYTES = 90000, BURST = 256000, RUN_MS = 300 };
     site_t *site = new_ready_site(1);
@@ -402,7 +402,7 @@
 END_TEST
 
 /* Routes pack about ten times; an older instance gets them as they are. */
-START_TEST(large_bodies_go_packed_to_who_takes_them)
+START_TEST(large_bodies_are_compressed_if_the_peer_supports_it)
 {
     enum { ROUTES = 500, ROUTES_BYTES = 80000 };
     site_t *site = new_ready_site(1);
@@ -412,19 +412,19 @@
     int64_t before = changed_bytes();
     put_config(site, NULL);
     RUN_UNTIL(site, peer->version == site->version);
-    ck_assert_uint_eq(peer->packed, 0);
+    ck_assert_uint_eq(peer->packed_bodies, 0);
     ck_assert_int_gt(changed_bytes() - before, ROUTES_BYTES);
     peer->unpacks = true;
     run_for(site, 5 * HEARTBEAT_MS);
     before = changed_bytes();
     put_config(site, NULL);
     RUN_UNTIL(site, peer->version == site->version);
-    ck_assert_uint_eq(peer->packed, 1);
+    ck_assert_uint_eq(peer->packed_bodies, 1);
     ck_assert_int_lt(changed_bytes() - before, ROUTES_BYTES / 4);
 }
 END_TEST
 
-START_TEST(answers_are_packed_for_who_takes_them)
+START_TEST(view_answers_are_compressed_if_the_peer_supports_it)
 {
     /* More than a peer is sent that can read the store, unless it is packed. */
     enum { ROUTES = 1500, REQUESTS = 40 };
@@ -437,22 +437,22 @@
     RUN_UNTIL(site, gateway_living(site->gateway) == 2);
     const int64_t before = requested_bytes();
     send_request(peer);
-    RUN_UNTIL(site, peer->sent_away == 1);
+    RUN_UNTIL(site, peer->store_referrals == 1);
     ck_assert_int_eq(requested_bytes(), before);
     peer->unpacks = true;
     send_request(peer);
     RUN_UNTIL(site, peer->version == site->version);
-    ck_assert_uint_eq(peer->packed, 1);
+    ck_assert_uint_eq(peer->packed_bodies, 1);
     /* Those beyond the rate are not sent to the store: they ask somebody else. */
     for (int i = 0; i < REQUESTS; i++)
         send_request(peer);
     run_for(site, 3 * HEARTBEAT_MS);
-    ck_assert_uint_eq(peer->sent_away, 1);
-    ck_assert_uint_lt(peer->packed, REQUESTS);
+    ck_assert_uint_eq(peer->store_referrals, 1);
+    ck_assert_uint_lt(peer->packed_bodies, REQUESTS);
 }
 END_TEST
 
-START_TEST(a_body_that_cannot_be_unpacked_changes_nothing)
+START_TEST(invalid_compressed_body_is_rejected)
 {
     static const struct {
         const char *body;
@@ -475,7 +475,7 @@
 END_TEST
 
 static Iris__ViewUpdate *
-through_the_wire(view_message_t *message)
+encode_and_decode(view_message_t *message)
 {
     const size_t len = iris__envelope__get_packed_size(&message->envelope);
     uint8_t *bytes = xmalloc(len);
@@ -488,7 +488,7 @@
 }
 
 /* Entries of backend servers are too small to pack alone; together they pack five times. */
-START_TEST(a_list_is_packed_together)
+START_TEST(view_list_is_compressed_as_a_whole)
 {
     enum { ENTRIES = 500, PACKED_PART = 4 };
     static char names[ENTRIES][16];
@@ -511,7 +511,7 @@
     ck_assert_uint_eq(message.bytes, plain);
     view_message_pack(&message, VIEW_FORMAT_PACKED_LIST);
     ck_assert_uint_lt(message.bytes, plain / PACKED_PART);
-    Iris__ViewUpdate *update = through_the_wire(&message);
+    Iris__ViewUpdate *update = encode_and_decode(&message);
     ck_assert(view_message_unpack(update));
     ck_assert_uint_eq(update->n_items, ENTRIES);
     ck_assert_str_eq(update->items[7]->name, names[7]);
@@ -523,7 +523,7 @@
     ck_assert(view_message_fill_list(&again, update));
     ck_assert_uint_eq(again.bytes, message.bytes);
     ck_assert_uint_eq(again.update.at, 1500);
-    Iris__ViewUpdate *further = through_the_wire(&again);
+    Iris__ViewUpdate *further = encode_and_decode(&again);
     ck_assert(view_message_unpack(further));
     ck_assert_uint_eq(further->n_items, ENTRIES);
     view_message_free(&again);
@@ -531,7 +531,7 @@
 }
 END_TEST
 
-START_TEST(a_list_that_cannot_be_unpacked_changes_nothing)
+START_TEST(invalid_compressed_list_is_rejected)
 {
     static const struct {
         const char *list;
@@ -550,7 +550,7 @@
 
 /* The instance has got these changes before, from another watcher; those behind it in this tree may
  * not have. */
-START_TEST(a_change_goes_on_though_it_is_no_news)
+START_TEST(known_change_is_still_forwarded_once)
 {
     enum { CHANGES = 24, FIRST = 1, BODY_BYTES = 8000 };
     const str_t text = STR("{\"spec\":{\"version\":\"1\"}}");
@@ -588,7 +588,7 @@
 END_TEST
 
 /* What binds goes ahead of a change of hundreds of entries, and only to who takes it. */
-START_TEST(departures_go_ahead_of_a_large_change)
+START_TEST(departures_are_sent_before_a_large_change)
 {
     enum { ENTRIES = 60 };
     for (int reads_lists = 0; reads_lists <= 1; reads_lists++) {
@@ -610,25 +610,25 @@
         put_backend(site, &site->backends[0], "draining");
         standin_store_remove(site->store, "servers", "i-1");
         run_for(site, 15 * HEARTBEAT_MS);
-        ck_assert_uint_eq(peer->departed, reads_lists ? 2 : 0);
+        ck_assert_uint_eq(peer->departures_received, reads_lists ? 2 : 0);
     }
 }
 END_TEST
 
 /* A started instance need not ask the store who there is, nor announce itself again. */
-START_TEST(an_instance_heard_anew_is_answered_at_once)
+START_TEST(restarted_peer_gets_a_prompt_reply)
 {
     site_t *site = new_ready_site(1);
     peer_t *peer = new_peer(site, site->gateway);
     peer->announced = true;
-    RUN_UNTIL(site, peer->addresses > 0);
+    RUN_UNTIL(site, peer->addresses_received > 0);
     ck_assert(!peer->heard_announced);
-    peer->life = 1;
+    peer->restarts = 1;
     RUN_UNTIL(site, peer->heard_announced);
 }
 END_TEST
 
-START_TEST(an_instance_that_was_announced_is_not_again)
+START_TEST(announced_instance_is_not_announced_again)
 {
     site_t *site = new_site(1);
     gateway_t *gateway = start_gateway(site, "g-1", &site->store_port, NULL);
@@ -642,7 +642,7 @@
 END_TEST
 
 /* A peer that missed some changes can still apply the next one. */
-START_TEST(a_change_reaches_back_to_earlier_ones)
+START_TEST(change_starts_from_the_earliest_base)
 {
     enum { CHANGES = 4 };
     site_t *site = new_ready_site(1);
@@ -653,16 +653,16 @@
         put_config(site, NULL);
         RUN_UNTIL(site, peer->pushes == i);
         if (i == 1)
-            first_from = peer->from;
+            first_from = peer->from_received;
     }
-    ck_assert_uint_eq(peer->from, first_from);
-    ck_assert_uint_gt(peer->up_to, first_from);
+    ck_assert_uint_eq(peer->from_received, first_from);
+    ck_assert_uint_gt(peer->at_received, first_from);
 }
 END_TEST
 
 /* A large configuration travels along a tree of instances. The scripted peer, one of them, sends
  * nothing on: those behind it ask for what they lack, all others get it unasked. */
-START_TEST(a_large_change_reaches_all_past_a_silent_instance)
+START_TEST(large_change_reaches_all_despite_a_non_forwarding_peer)
 {
     /* The peer has at most four of fourteen behind it; a busy machine may let more ask. */
     enum { INSTANCES = 12, ROUTES = 500, CONFIG_BYTES = 90000, BEHIND_MAX = 4, ROUNDS = 3 };
@@ -711,23 +711,23 @@
     Suite *suite = suite_create("gateway: view relay");
     TCase *tests = tcase_create("relay");
     tcase_set_timeout(tests, 60);
-    tcase_add_test(tests, changes_do_not_queue_for_a_peer_that_reads_slowly);
-    tcase_add_test(tests, late_changes_do_not_keep_an_instance_from_asking);
-    tcase_add_test(tests, no_route_is_denied_while_a_peer_has_a_newer_configuration);
-    tcase_add_test(tests, a_lost_peer_leaves_nobody_behind);
-    tcase_add_test(tests, changes_keep_to_a_pace);
-    tcase_add_test(tests, answers_keep_to_a_rate);
-    tcase_add_test(tests, large_bodies_go_packed_to_who_takes_them);
-    tcase_add_test(tests, answers_are_packed_for_who_takes_them);
-    tcase_add_test(tests, a_body_that_cannot_be_unpacked_changes_nothing);
-    tcase_add_test(tests, a_list_is_packed_together);
-    tcase_add_test(tests, a_list_that_cannot_be_unpacked_changes_nothing);
-    tcase_add_test(tests, a_change_goes_on_though_it_is_no_news);
-    tcase_add_test(tests, departures_go_ahead_of_a_large_change);
-    tcase_add_test(tests, an_instance_heard_anew_is_answered_at_once);
-    tcase_add_test(tests, an_instance_that_was_announced_is_not_again);
-    tcase_add_test(tests, a_change_reaches_back_to_earlier_ones);
-    tcase_add_test(tests, a_large_change_reaches_all_past_a_silent_instance);
+    tcase_add_test(tests, changes_do_not_queue_for_a_slow_peer);
+    tcase_add_test(tests, outdated_changes_do_not_suppress_view_requests);
+    tcase_add_test(tests, unknown_route_gets_503_while_configuration_is_stale);
+    tcase_add_test(tests, lost_peer_ends_the_stale_configuration_state);
+    tcase_add_test(tests, large_changes_are_rate_limited);
+    tcase_add_test(tests, view_answers_are_rate_limited);
+    tcase_add_test(tests, large_bodies_are_compressed_if_the_peer_supports_it);
+    tcase_add_test(tests, view_answers_are_compressed_if_the_peer_supports_it);
+    tcase_add_test(tests, invalid_compressed_body_is_rejected);
+    tcase_add_test(tests, view_list_is_compressed_as_a_whole);
+    tcase_add_test(tests, invalid_compressed_list_is_rejected);
+    tcase_add_test(tests, known_change_is_still_forwarded_once);
+    tcase_add_test(tests, departures_are_sent_before_a_large_change);
+    tcase_add_test(tests, restarted_peer_gets_a_prompt_reply);
+    tcase_add_test(tests, announced_instance_is_not_announced_again);
+    tcase_add_test(tests, change_starts_from_the_earliest_base);
+    tcase_add_test(tests, large_change_reaches_all_despite_a_non_forwarding_peer);
     suite_add_tcase(suite, tests);
     return suite;
 }
