--- a/gateway/state/store_watch.h
+++ b/gateway/state/store_watch.h
@@ -3,9 +3,9 @@
  *
  * Two instances of each region watch the store and pass changes on to the others (view_push.h). An
  * instance that sees no watcher in its region takes over, so that no instance depends on another. A
- * starting instance lists what its peers have not sent (policy/store_turns.h). See
- * docs/design/gateway/store-calls.md. Also detects whether the store fails for this instance, and
- * when it recovered from an outage for all instances.
+ * starting instance lists what its peers have not sent. See docs/design/gateway/store-calls.md.
+ * Also detects whether the store fails for this instance, and when it recovered from an outage for
+ * all instances.
  *
  * Owns the calls to the store and the detected store state. Depends on views.h for the views, on
  * membership/members.h for the other instances and on the store port of the platform adapter.
--- a/gateway/state/suspects.h
+++ b/gateway/state/suspects.h
@@ -3,9 +3,9 @@
  * against each.
  *
  * The evidence is the set of backend server lives that ended during a request, and the time its
- * last run completed. Instances exchange it (membership/suspect_news.h). Merging is a set union
- * without the ends before the last completed run, so neither order nor repetition nor origin of the
- * messages matters. policy/quarantine.h decides on the evidence.
+ * last run completed. Instances exchange it. Merging is a set union without the ends before the
+ * last completed run, so neither order nor repetition nor origin of the messages matters.
+ * policy/quarantine.h decides on the evidence.
  *
  * Evidence is kept per request and per family: all requests with the same path and body, whoever
  * sends them, since a caller may change its address. The ends of a family count only if no single
--- a/test/gateway/test_outage.c
+++ b/test/gateway/test_outage.c
@@ -1,4 +1,4 @@
-/* Entries of backend servers that go during an outage of the store, and after it. */
+/* Removal of backend entries during and after an outage of the store. */
 #include "base/loop_time.h"
 #include "base/xmalloc.h"
 #include "gateway/state/catalog.h"
@@ -13,23 +13,23 @@
     START_MS = 100000,
     TICK_MS = 200,
     OUTAGE_MS = 4000,
-    MASS_LOSS_MS = 1400, /* removal.c's */
-    GRACE_MS = 2200,     /* removal.c's */
-    RETURN_MS = 1000,    /* the store is tried again, and answers */
-    /* The platform's figure, in which backend servers that live are listed again. */
+    MASS_LOSS_MS = 1400, /* as in removal.c */
+    GRACE_MS = 2200,     /* as in removal.c */
+    RETURN_MS = 1000,    /* time for the next store call to succeed */
+    /* Time in which live backend servers are listed again, as given by the platform. */
     BACK_WITHIN_MS = 2000,
-    FALLBACK_MS = 3000, /* store_watch.c's */
+    FALLBACK_MS = 3000, /* as in store_watch.c */
 };
 
-/* The entry of a backend server that says it is leaving. */
+/* Body of the entry of a leaving backend server. */
 #define LEAVING "leaving"
 
-/* A store whose calls the test answers, the state that is kept of it, and time that stands still
- * while nothing is done. */
+/* A store whose calls the test answers, the components under test, and a clock that only the test
+ * advances. */
 typedef struct {
     uv_loop_t loop;
     store_port_t port;
-    store_cb_t cbs[VIEW_WATCHED]; /* NULL if no call of the kind is under way */
+    store_cb_t cbs[VIEW_WATCHED]; /* NULL if no call of the kind is pending */
     void *cb_ctxs[VIEW_WATCHED];
     uint64_t revision;
     topology_t topology;
@@ -83,7 +83,7 @@
     (void)delta;
 }
 
-/* Answers the call of a kind that is under way, if there is one. */
+/* Answers the pending call of a kind, if any. */
 static void
 answer_call(outage_fixture_t *fixture, view_kind_t kind, const store_answer_t *answer)
 {
@@ -101,7 +101,7 @@
     catalog_tick(&fixture->catalog);
 }
 
-/* Lets time go by; the store answers all calls, or fails them. */
+/* Advances the clock by `ms`; the store answers all calls, or fails them. */
 static void
 run_store(outage_fixture_t *fixture, uint64_t ms, bool serves)
 {
@@ -121,7 +121,7 @@
     return str_from(ids[index]);
 }
 
-/* The store tells that entries have come or gone; the watch of the list rests until then. */
+/* Answers the watch of the backend list with entries that were added or removed. */
 static void
 deliver_backends(outage_fixture_t *fixture, size_t first, size_t count, bool gone)
 {
@@ -146,7 +146,7 @@
     return backend != NULL && backend_is_usable(backend, loop_now(&fixture->loop));
 }
 
-/* An instance that knows all backend servers and watches the store. */
+/* Creates an instance that knows all backend servers and watches the store. */
 static outage_fixture_t *
 new_fixture(void)
 {
@@ -175,7 +175,7 @@
     return fixture;
 }
 
-/* An instance of that name, heard just now. */
+/* Adds an instance with a recent heartbeat. */
 static member_t *
 add_instance(outage_fixture_t *fixture, const char *addr_text, const char *name, bool failing,
              uint32_t store_age_ms)
@@ -186,22 +186,21 @@
     peer->heard = true;
     peer->region = fixture->watch.conf.region;
     peer->heard_ms = uv_now(&fixture->loop);
-    peer->interval_ms = OUTAGE_MS; /* it lives for long */
+    peer->interval_ms = OUTAGE_MS; /* long enough to stay alive throughout a test */
     peer->store_failing = failing;
     peer->store_age_ms = store_age_ms;
     name_set(&peer->instance, str_from(name));
     return peer;
 }
 
-/* Another instance, heard just now. */
+/* Adds a peer with a recent heartbeat. */
 static member_t *
 add_peer(outage_fixture_t *fixture, bool failing, uint32_t store_age_ms)
 {
     return add_instance(fixture, "10.0.0.1:1", "a-2", failing, store_age_ms);
 }
 
-/* Lets time go by in which two others, before this instance in the order of the names, watch the
- * store and are served. */
+/* Like run_store(), while two instances of higher rank watch the store and are served. */
 static void
 run_store_with_watchers(outage_fixture_t *fixture, uint64_t ms, bool serves)
 {
@@ -222,7 +221,7 @@
     free(fixture);
 }
 
-/* The store is away, entries lapse, and all are back within the platform's time of its return. */
+/* Runs an outage in which entries expire and are listed again in time. */
 static void
 run_outage(outage_fixture_t *fixture)
 {
@@ -247,7 +246,7 @@
 }
 END_TEST
 
-/* Each that lapsed is used up to the same moment, however late that is told. */
+/* The grace ends at the same moment, whenever the removal was received. */
 START_TEST(outage_grace_ends_at_the_same_time_for_all)
 {
     outage_fixture_t *fixture = new_fixture();
@@ -267,7 +266,7 @@
 }
 END_TEST
 
-/* An entry that was gone, is listed again and goes once more gets no second grace. */
+/* An entry that was removed, listed again and removed once more. */
 START_TEST(second_removal_gets_no_second_grace)
 {
     outage_fixture_t *fixture = new_fixture();
@@ -301,14 +300,14 @@
 }
 END_TEST
 
-/* This instance's calls fail on; a peer is served again. */
+/* Calls of this instance still fail, but a peer is served again. */
 START_TEST(outage_ends_when_store_serves_a_peer)
 {
     outage_fixture_t *fixture = new_fixture();
     add_peer(fixture, true, OUTAGE_MS);
     run_store(fixture, OUTAGE_MS, false);
     ck_assert_uint_eq(store_watch_outage_state(&fixture->watch).since_return_ms, 0);
-    /* A restarted peer has not failed yet and has had no answer either. */
+    /* A restarted peer has neither a failure nor an answer yet. */
     add_peer(fixture, false, STORE_AGE_NONE);
     advance_ms(fixture, TICK_MS);
     ck_assert_uint_eq(store_watch_outage_state(&fixture->watch).since_return_ms, 0);
@@ -319,7 +318,7 @@
 }
 END_TEST
 
-/* Nothing is told but the change itself. */
+/* The received change is the only sign of the recovery. */
 START_TEST(outage_ends_with_change_from_a_peer)
 {
     outage_fixture_t *fixture = new_fixture();
@@ -339,7 +338,7 @@
 }
 END_TEST
 
-/* A call that was begun before the first sign of the return and fails after it says nothing new. */
+/* A call that started before the recovery and fails after it does not indicate a new outage. */
 START_TEST(stalled_call_does_not_restart_the_outage)
 {
     outage_fixture_t *fixture = new_fixture();
@@ -353,7 +352,7 @@
     const store_answer_t failure = {.outcome = STORE_FAILED};
     answer_call(fixture, VIEW_CONFIG, &failure);
     ck_assert_uint_eq(store_watch_outage_state(&fixture->watch).since_return_ms, 600);
-    /* One that was begun after it does. */
+    /* A call that started after it does. */
     run_store(fixture, 2000, false);
     ck_assert_uint_eq(store_watch_outage_state(&fixture->watch).since_return_ms, 0);
     free_fixture(fixture);
@@ -379,7 +378,7 @@
 }
 END_TEST
 
-/* The watch ended with the history, and the list that follows lacks an entry. */
+/* The watch history is gone, and the following list lacks an entry. */
 START_TEST(entry_missing_from_a_list_is_removed_immediately)
 {
     outage_fixture_t *fixture = new_fixture();
@@ -395,7 +394,7 @@
 }
 END_TEST
 
-/* The store fails this instance alone: that is no outage, and nothing lapses. */
+/* The store fails for this instance only, so no entry expires. */
 START_TEST(store_failing_for_one_instance_grants_no_grace)
 {
     outage_fixture_t *fixture = new_fixture();
@@ -409,7 +408,7 @@
 }
 END_TEST
 
-/* The store has answered all along: nothing can have lapsed, however much goes together. */
+/* Without a store failure, no entry can have expired, however many are removed. */
 START_TEST(mass_removal_without_failure_is_immediate)
 {
     outage_fixture_t *fixture = new_fixture();
@@ -420,7 +419,7 @@
 }
 END_TEST
 
-/* The outage is too short to be known for one, here or by the peer that was failed. */
+/* The failure, here or at a peer, is too short to count as an outage. */
 START_TEST(mass_removal_near_a_failure_gets_grace)
 {
     for (int by_peer = 0; by_peer < 2; by_peer++) {
@@ -439,8 +438,8 @@
 }
 END_TEST
 
-/* Most instances of a large fleet never call the store: they hear of its outage from those that do,
- * and of its return. */
+/* Most instances of a large fleet never call the store; they learn of the outage and its end from
+ * those that do. */
 START_TEST(outage_is_detected_without_own_store_calls)
 {
     static const char *const addrs[] = {"10.0.0.3:1", "10.0.0.4:1", "10.0.0.5:1", "10.0.0.6:1"};
@@ -467,7 +466,8 @@
 }
 END_TEST
 
-/* Peers send an instance that the store fails whole views, however large. */
+/* An instance that counts as failing gets whole views of any size from its peers, so the state must
+ * end. */
 START_TEST(recovery_is_detected_without_watching)
 {
     enum { LOOK_MS = 4000 };
@@ -482,7 +482,7 @@
 }
 END_TEST
 
-/* The configuration alone gets no answers or ones of no use; the list of backends is served. */
+/* Calls for the configuration fail, while the backend list is served. */
 START_TEST(failure_of_one_kind_is_no_outage)
 {
     static const store_outcome_t outcomes[] = {STORE_UNUSABLE, STORE_FAILED};
@@ -500,7 +500,7 @@
 }
 END_TEST
 
-/* It stood still during the outage and has not failed yet. */
+/* The peer was suspended during the outage and has not failed yet. */
 START_TEST(peer_with_old_answer_does_not_end_the_outage)
 {
     outage_fixture_t *fixture = new_fixture();
@@ -534,7 +534,7 @@
     run_store(fixture, 5000, false);
     run_store(fixture, 400, true);
     deliver_backends(fixture, 0, 1, true);
-    ck_assert(is_usable(fixture, 0)); /* for a moment, as its entry may come back */
+    ck_assert(is_usable(fixture, 0)); /* within the grace, as the entry may be listed again */
     loop_time_suspend(6000);
     catalog_tick(&fixture->catalog);
     ck_assert(!is_usable(fixture, 0));
--- a/test/gateway/test_store.c
+++ b/test/gateway/test_store.c
@@ -1,4 +1,4 @@
-/* A gateway and a stand-in of the store: changes, removals, trouble. */
+/* A gateway with a fake store: changes, removals, failures. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -14,14 +14,14 @@
     ck_assert_int_eq(ask(site, "GET", "/new/x").status, 404);
     put_config(site, "/new/");
     RUN_UNTIL(site, ask(site, "GET", "/new/x").status == 200);
-    /* The history is forgotten and the watch cut: the next change comes all the same. */
+    /* A change is applied even after the history was dropped and the watch cut. */
     standin_store_forget(site->store);
     put_config(site, NULL);
     RUN_UNTIL(site, ask(site, "GET", "/new/x").status == 404);
 }
 END_TEST
 
-/* True once a request for `path` gets that status; false if it does not in a generous time. */
+/* Requests `path` until it gets that status; false after PATIENCE_MS. */
 static bool
 wait_for_status(site_t *site, const char *path, int status)
 {
@@ -33,7 +33,7 @@
     return true;
 }
 
-/* As many routes as an object of the store holds (1 MiB). */
+/* About as many routes as fit a store object (1 MiB). */
 START_TEST(configuration_with_many_routes_is_applied)
 {
     site_t *site = new_ready_site(1);
@@ -72,9 +72,10 @@
     for (int i = 0; i < 5; i++)
         ck_assert_int_eq(ask(site, "POST", "/once/x").status, 503);
     ck_assert_uint_eq(all_runs(site), before);
-    /* Taken back: cold for a while, then served again. */
+    /* Reverted: cold for a while, then used again. */
     standin_store_remove(site->store, "evacuations", "a1");
-    ck_assert(wait_for_status(site, "/safe/x", 200)); /* asked once: the next one would be paced */
+    /* No RUN_UNTIL: after the first success the next request would be rate-limited. */
+    ck_assert(wait_for_status(site, "/safe/x", 200));
 }
 END_TEST
 
@@ -111,7 +112,7 @@
 }
 END_TEST
 
-/* Nothing happens for that long. */
+/* Runs the loop for `ms`. */
 static void
 wait_ms(site_t *site, uint64_t ms)
 {
@@ -121,7 +122,7 @@
 
 START_TEST(backend_removed_after_outage_gets_no_requests)
 {
-    /* Of the removal; with the grace of an outage it takes 2,200 ms. */
+    /* Limit for the removal; with the grace of an outage it would take 2,200 ms. */
     enum { GONE_WITHIN_MS = 1500 };
     site_t *site = new_ready_site(1);
     standin_store_set_mode(site->store, STANDIN_STORE_BUSY);
@@ -142,13 +143,13 @@
 END_TEST
 
 enum {
-    /* 40 kB a second: the configuration below takes some 2.5 s. */
+    /* 40 kB/s: the configuration below takes about 2.5 s. */
     PIECE = 4096,
     PIECE_PAUSE_MS = 100,
     MANY_ROUTES = 500,
 };
 
-/* Asks until the answer has that status; false after PATIENCE_MS. */
+/* Requests `path` until it gets that status; false after PATIENCE_MS. */
 static bool
 status_is_reached(site_t *site, const char *path, int status)
 {
@@ -166,7 +167,7 @@
     return status_is_reached(site, path, 200);
 }
 
-/* The store is out, and the instance has noticed. */
+/* Makes the store fail, and waits until the instance has retried. */
 static void
 begin_outage(site_t *site)
 {
@@ -183,7 +184,7 @@
     put_config(site, NULL);
     use_gateway(site, start_gateway(site, "g-1", &site->store_port, NULL));
     ck_assert(config_is_applied(site, "/safe/x"));
-    /* The same with a change that was made in an outage. */
+    /* The same for a change made during an outage. */
     begin_outage(site);
     put_config(site, "/new/");
     standin_store_set_mode(site->store, STANDIN_STORE_SERVES);
@@ -225,7 +226,7 @@
 
 START_TEST(oversized_watch_answer_falls_back_to_list)
 {
-    enum { VERSIONS = 60 }; /* 5 MB */
+    enum { VERSIONS = 60 }; /* 5 MB in total */
     site_t *site = new_ready_site(1);
     begin_outage(site);
     site->extra_routes = MANY_ROUTES;
--- a/test/gateway/test_suspects.c
+++ b/test/gateway/test_suspects.c
@@ -1,4 +1,5 @@
-/* The evidence on requests under which backend servers have ended, and what is decided from it. */
+/* Evidence against requests during which backend servers terminated, and the resulting
+ * decisions. */
 #include <stdlib.h>
 
 #include "base/xmalloc.h"
@@ -17,7 +18,7 @@
 
 static const str_t text = {"10.0.0.1:4 GET h.example/x", 26};
 
-/* A request that is alone in its family. */
+/* A request that is the only member of its family. */
 static fingerprint_t
 single_member_family(uint64_t request)
 {
@@ -140,7 +141,7 @@
 {
     suspects_t suspects = {0};
     add_confirmed_end(&suspects, REQUEST, 1, START_MS);
-    add_confirmed_end(&suspects, REQUEST, 1, START_MS + 1); /* another run there, seen later */
+    add_confirmed_end(&suspects, REQUEST, 1, START_MS + 1); /* another run on it */
     ck_assert_uint_eq(count_ends(&suspects, REQUEST), 1);
     const fingerprint_t fingerprint = single_member_family(REQUEST);
     suspects_add_end(&suspects, &fingerprint, text, 2, VERSION, START_MS + 2);
@@ -153,7 +154,7 @@
 
 START_TEST(bystander_with_finished_runs_is_not_quarantined)
 {
-    /* It shares every end, and finishes a run between two of them. */
+    /* It shares every end, and completes a run between two of them. */
     suspects_t suspects = {0};
     for (uint64_t life = 1; life <= 20; life++) {
         const uint64_t now_ms = START_MS + life * RUN_MS;
@@ -167,7 +168,7 @@
 }
 END_TEST
 
-/* What `from` knows of the request, as `to` hears it. */
+/* Sends what `from` knows of the request to `to`. */
 static void
 send_evidence(const suspects_t *from, suspects_t *to, uint64_t now_ms)
 {
@@ -186,11 +187,11 @@
     add_confirmed_end(&b, REQUEST, 2, START_MS + RUN_MS);
     send_evidence(&a, &b, START_MS + RUN_MS);
     send_evidence(&b, &a, START_MS + RUN_MS);
-    send_evidence(&b, &a, START_MS + RUN_MS); /* twice is as once */
+    send_evidence(&b, &a, START_MS + RUN_MS); /* merging twice has no further effect */
     ck_assert_uint_eq(count_ends(&a, REQUEST), 2);
     ck_assert_uint_eq(decide(&a, REQUEST, START_MS + RUN_MS).held_ms,
                       decide(&b, REQUEST, START_MS + RUN_MS).held_ms);
-    /* A trial at one keeps the other out, and its finished run frees both. */
+    /* A trial at one instance blocks the other, and its completed run clears both. */
     const uint64_t over_ms = START_MS + RUN_MS + quarantine_term_ms(2);
     begin_trial(&a, REQUEST, over_ms);
     send_evidence(&a, &b, over_ms);
@@ -210,12 +211,12 @@
     const fingerprint_t next = {4, FAMILY};
     add_confirmed_end_of(&suspects, (fingerprint_t){1, FAMILY}, 1, START_MS);
     add_confirmed_end_of(&suspects, (fingerprint_t){1, FAMILY}, 2, START_MS);
-    /* One caller's ends are its own. */
+    /* Ends of a single caller do not count against the family. */
     ck_assert_int_eq(suspects_decide(&suspects, &next, START_MS).verdict, QUARANTINE_FREE);
     add_confirmed_end_of(&suspects, (fingerprint_t){2, FAMILY}, 3, START_MS);
     ck_assert_int_eq(suspects_decide(&suspects, &next, START_MS).verdict, QUARANTINE_HELD);
     ck_assert_uint_eq(suspects_ends(&suspects, &next), 3);
-    /* Another caller's finished run clears the family, and not who is held for itself. */
+    /* Another caller's completed run clears the family, but not the request with its own ends. */
     suspects_add_finished_run(&suspects, &next, VERSION, START_MS + 1);
     ck_assert_int_eq(suspects_decide(&suspects, &next, START_MS + 2).verdict, QUARANTINE_FREE);
     const fingerprint_t first = {1, FAMILY};
@@ -226,7 +227,7 @@
 
 START_TEST(request_with_explained_ends_is_not_quarantined)
 {
-    /* Two that end what runs them, and one that was with each of them once. */
+    /* Two requests that terminate backend servers, and one that shared one end with each. */
     suspects_t suspects = {0};
     add_confirmed_end(&suspects, REQUEST, 1, START_MS);
     add_confirmed_end(&suspects, BYSTANDER, 1, START_MS);
@@ -238,7 +239,7 @@
     ck_assert_int_eq(verdict_at(&suspects, REQUEST, START_MS), QUARANTINE_HELD);
     ck_assert_int_eq(verdict_at(&suspects, REQUEST + 10, START_MS), QUARANTINE_HELD);
     ck_assert_int_eq(verdict_at(&suspects, BYSTANDER, START_MS), QUARANTINE_FREE);
-    /* A third end of its own tells more than what it shared. */
+    /* A third end of its own is not explained by the others. */
     add_confirmed_end(&suspects, BYSTANDER, 5, START_MS);
     ck_assert_int_eq(verdict_at(&suspects, BYSTANDER, START_MS), QUARANTINE_HELD);
     suspects_free(&suspects);
@@ -254,7 +255,7 @@
     }
     ck_assert_int_eq(verdict_at(&suspects, REQUEST, START_MS), QUARANTINE_HELD);
     ck_assert_int_eq(verdict_at(&suspects, BYSTANDER, START_MS), QUARANTINE_HELD);
-    /* Until one of them ends a third. */
+    /* Until one of them has a third end. */
     add_confirmed_end(&suspects, REQUEST, 3, START_MS + 3000);
     ck_assert_int_eq(verdict_at(&suspects, BYSTANDER, START_MS), QUARANTINE_FREE);
     suspects_free(&suspects);
@@ -292,7 +293,7 @@
 
 START_TEST(quarantine_survives_replacement_of_all_instances)
 {
-    /* Each is killed after the next has started: none of the last ones saw an end. */
+    /* Each instance is killed after the next has started: the last ones saw no end themselves. */
     enum { LIVES = 4 };
     suspects_t lives[LIVES] = {0};
     add_confirmed_end(&lives[0], REQUEST, 1, START_MS);
@@ -317,7 +318,7 @@
     ck_assert_int_eq(
         suspects_decide_version(&suspects, &fingerprint, VERSION + 1, START_MS).verdict,
         QUARANTINE_TRIAL);
-    /* One try in the fleet; and once that version has ended too, none before the next term. */
+    /* Only one trial in the fleet. Once that version has ended too, none before the next term. */
     begin_trial(&suspects, REQUEST, START_MS);
     ck_assert_int_eq(
         suspects_decide_version(&suspects, &fingerprint, VERSION + 1, START_MS + 1).verdict,
@@ -352,11 +353,11 @@
             suspects_decide_version(both[i], &fingerprint, VERSION, START_MS + 30).verdict,
             QUARANTINE_HELD);
     }
-    /* Until one of that version ends too. */
+    /* Until that version ends too. */
     suspects_add_end(&b, &fingerprint, text, 3, FIXED, START_MS + 40);
     ck_assert_int_eq(suspects_decide_version(&b, &fingerprint, FIXED, START_MS + 40).verdict,
                      QUARANTINE_HELD);
-    /* A run that finishes on the version that ended clears it. */
+    /* A completed run on the version that ended clears it. */
     suspects_add_finished_run(&a, &fingerprint, VERSION, START_MS + 50);
     ck_assert_uint_eq(count_ends(&a, REQUEST), 0);
     suspects_free(&a);
@@ -364,8 +365,8 @@
 }
 END_TEST
 
-/* Backend servers that end under a request that comes three times a second, at an instance that
- * knows nothing before: what a fleet that was killed all at once costs again. */
+/* Number of backend servers that end within `ms` under a request repeated three times a second, at
+ * an instance without prior evidence. */
 static unsigned
 count_ends_within(uint64_t ms)
 {
@@ -401,11 +402,11 @@
     add_confirmed_end(&a, REQUEST, 2, START_MS);
     send_evidence(&a, &b, START_MS);
     ck_assert(suspects_lift(&b, REQUEST, START_MS + 10));
-    send_evidence(&a, &b, START_MS + 20); /* it has not heard of the clearing */
+    send_evidence(&a, &b, START_MS + 20); /* sent before it received the clearing */
     ck_assert_uint_eq(count_ends(&b, REQUEST), 0);
     send_evidence(&b, &a, START_MS + 30);
     ck_assert_uint_eq(count_ends(&a, REQUEST), 0);
-    /* What ends later counts again. */
+    /* Later ends count again. */
     add_confirmed_end(&a, REQUEST, 3, START_MS + 40);
     send_evidence(&a, &b, START_MS + 40);
     ck_assert_uint_eq(count_ends(&b, REQUEST), 1);
@@ -423,7 +424,7 @@
         add_confirmed_end(&suspects, 1000 + i, 100 + i, START_MS + i);
     ck_assert_uint_eq(suspects.count, SUSPECTS_MAX);
     ck_assert_int_eq(verdict_at(&suspects, REQUEST, START_MS), QUARANTINE_HELD);
-    /* All are forgotten in the end. */
+    /* All entries expire eventually. */
     suspects_tick(&suspects, START_MS + 2 * quarantine_term_ms(20));
     ck_assert_uint_eq(suspects.count, 0);
     suspects_free(&suspects);
--- a/test/gateway/test_view.c
+++ b/test/gateway/test_view.c
@@ -1,4 +1,4 @@
-/* Views of the store: lists, changes, digests. */
+/* Views: lists, changes, digests. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -40,7 +40,7 @@
     const store_item_t gone[] = {item("a", 10, true)};
     view_replace(&view, first, 1, 5);
     view_apply(&view, again, 1, 5, 12);
-    /* The same object was removed and made again: the removal comes late. */
+    /* The removal of the former object arrives after the new one. */
     view_apply(&view, gone, 1, 5, 13);
     ck_assert_ptr_nonnull(view_find(&view, STR("a")));
     view_free(&view);
@@ -84,7 +84,7 @@
     ck_assert_uint_eq(count, 2);
     ck_assert(out[0].gone && str_eq(out[0].name, STR("b")));
     ck_assert(!out[1].gone && str_eq(out[1].name, STR("c")));
-    /* A peer that takes them in holds the same objects. */
+    /* A peer that applies the result holds the same objects. */
     view_t peer = {0};
     view_replace(&peer, first, 2, 5);
     ck_assert_int_eq(view_apply(&peer, out, count, 5, 9), VIEW_CHANGED);
@@ -95,7 +95,7 @@
 }
 END_TEST
 
-/* However many objects changed: only removals are kept apart, and so many of them. */
+/* Any number of changes is available, but only a fixed number of removals. */
 START_TEST(view_since_is_limited_by_the_removal_ring)
 {
     enum { MANY = 2 * VIEW_REMOVALS_MAX };
@@ -127,7 +127,7 @@
 }
 END_TEST
 
-/* Found on the users' bench: a peer that was behind got 19 versions of one object. */
+/* A peer that is behind must not get every version of an object that changed often. */
 START_TEST(view_since_returns_each_object_once)
 {
     view_t view = {0};
@@ -142,7 +142,7 @@
     ck_assert_uint_eq(count, 1);
     ck_assert_uint_eq(out[0].revision, 25);
     free(out);
-    /* It goes and comes again. */
+    /* Removed, then created again. */
     const store_item_t gone[] = {item("a", 26, true)};
     const store_item_t back[] = {item("a", 27, false)};
     view_apply(&view, gone, 1, 25, 26);
--- a/test/gateway/test_view_relay.c
+++ b/test/gateway/test_view_relay.c
@@ -1,4 +1,4 @@
-/* View relay: what an instance sends a peer of its views, and what it asks for. */
+/* View relay: what an instance sends to a peer, and what it requests. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -16,36 +16,36 @@
 
 enum {
     HEARTBEAT_MS = 100,
-    SOCKET_BYTES = 4096, /* that a peer takes which does not read */
+    SOCKET_BYTES = 4096, /* receive buffer of a peer that does not read */
     GATEWAYS_MAX = 16,
 };
 
-/* A scripted instance: it sends heartbeats, and counts what it is asked for. */
+/* A scripted peer that sends heartbeats and counts the messages it receives. */
 typedef struct {
     site_t *site;
     peer_hub_t *hub;
-    addr_t to[GATEWAYS_MAX]; /* the gateways; changes go to the first */
+    addr_t to[GATEWAYS_MAX]; /* the gateways; changes are sent to the first */
     size_t to_count;
-    addr_t address; /* where the gateway reaches the peer */
+    addr_t address; /* address at which the gateways reach the peer */
     uv_timer_t timer;
-    uint64_t at;               /* revision of the configuration that its heartbeats tell */
-    uint64_t next_change_from; /* revision up to which it sends changes, one a heartbeat; 0: none */
-    size_t requests;           /* for the configuration, of a view that is known already */
-    size_t pushes;             /* changes of the configuration that it was sent */
-    uint64_t from_received;    /* of the last one: the changes came after this revision */
-    uint64_t at_received;      /* and led up to this one */
-    unsigned version;          /* of the configuration that it brought */
-    bool unpacks;              /* its messages say that it takes packed bodies */
-    size_t store_referrals;    /* answers that told it to read the store */
-    size_t packed_bodies;      /* changes and answers that came so */
-    bool silent;               /* it sends no heartbeats any more */
-    bool reads_lists;          /* its messages say that it takes lists packed together */
-    size_t packed_lists;       /* changes that came so */
-    size_t departures_received; /* backend servers that it was told of ahead of a change */
-    bool announced;             /* it says that the store has its entry */
-    uint64_t restarts;          /* its incarnation; 0: the first */
-    bool heard_announced;       /* it was told that it said so in an earlier life */
-    size_t addresses_received;  /* of instances that it was told */
+    uint64_t at;               /* configuration revision reported in heartbeats */
+    uint64_t next_change_from; /* base of the change sent with the next heartbeat; 0: none */
+    size_t requests;        /* requests received for a configuration already known to the gateway */
+    size_t pushes;          /* configuration updates received */
+    uint64_t from_received; /* base revision of the last one */
+    uint64_t at_received;   /* revision of the last one */
+    unsigned version;       /* version in the last configuration received */
+    bool unpacks;           /* announces support for compressed bodies */
+    size_t store_referrals; /* answers that referred it to the store */
+    size_t packed_bodies;   /* updates received with compressed bodies */
+    bool silent;            /* sends no heartbeats */
+    bool reads_lists;       /* announces support for compressed lists */
+    size_t packed_lists;    /* updates received as compressed lists */
+    size_t departures_received; /* departing backend servers received ahead of a change */
+    bool announced;             /* claims to have an entry in the store */
+    uint64_t restarts;          /* added to the incarnation */
+    bool heard_announced;       /* was told that it announced itself in an earlier incarnation */
+    size_t addresses_received;  /* instance addresses received */
 } peer_t;
 
 static void
@@ -82,7 +82,8 @@
         peer_send(peer->hub, &peer->to[i], &envelope);
 }
 
-/* The configuration as of a revision: whole, or as a change since `from`. */
+/* Fills in the configuration at revision `at`: whole if `from` is 0, else as a change since
+ * `from`. */
 static void
 fill_update(Iris__ViewUpdate *update, Iris__ViewItem *item, uint64_t from, uint64_t at)
 {
@@ -114,7 +115,7 @@
     peer_send(peer->hub, &peer->to[0], &envelope);
 }
 
-/* Asks for the whole configuration. */
+/* Requests the whole configuration. */
 static void
 send_request(peer_t *peer)
 {
@@ -128,7 +129,7 @@
     peer_send(peer->hub, &peer->to[0], &envelope);
 }
 
-/* The version that stands in a configuration. */
+/* Extracts the version field of a configuration. */
 static unsigned
 config_version(const Iris__ViewItem *item)
 {
@@ -141,7 +142,7 @@
     return number;
 }
 
-/* Packed bodies come in a kind of message that an older instance leaves, and only there. */
+/* Compressed bodies must come only in envelope types that older instances ignore. */
 static Iris__ViewUpdate *
 decode_update(peer_t *peer, const Iris__Envelope *message)
 {
@@ -222,7 +223,7 @@
     return peer;
 }
 
-/* Takes the connection and leaves its bytes in a small socket. */
+/* Accepts the connection but never reads from it. */
 static void
 on_accept_and_stall(uv_stream_t *listener, int status)
 {
@@ -232,7 +233,7 @@
     ck_assert_int_eq(uv_accept(listener, (uv_stream_t *)conn), 0);
 }
 
-/* From now on the gateway reaches the peer where nobody reads. */
+/* Redirects the gateway's connection to a listener that does not read. */
 static void
 stall(peer_t *peer)
 {
@@ -272,7 +273,7 @@
     *(bool *)timer->data = true;
 }
 
-/* Runs the loop for that long. */
+/* Runs the loop for `ms`. */
 static void
 run_for(site_t *site, uint64_t ms)
 {
@@ -285,7 +286,7 @@
         uv_run(&site->loop, UV_RUN_ONCE);
 }
 
-/* Changes in quick succession, each a version of the one configuration object. */
+/* Changes in quick succession, each a version of the same configuration object. */
 START_TEST(changes_do_not_queue_for_a_slow_peer)
 {
     enum { ROUTES = 500, ROUNDS = 6, BURST = 10, ROUND_MS = 210, WAITING = 40000 };
@@ -306,13 +307,13 @@
         if (queued_bytes() > most)
             most = queued_bytes();
     }
-    /* One change, begun when little enough waited, and what that was (peer/link.c). */
+    /* At most one change beyond the threshold of peer/link.c may be queued. */
     ck_assert_msg(most <= one_change + WAITING, "%lld bytes wait, a change has %lld",
                   (long long)most, (long long)one_change);
 }
 END_TEST
 
-/* The peer knows revision 1000; what reaches the instance are changes of long ago. */
+/* The peer holds revision 1000, while the instance receives only much older changes. */
 START_TEST(outdated_changes_do_not_suppress_view_requests)
 {
     enum { NEWEST = 1000, FIRST = 100 };
@@ -327,7 +328,7 @@
 }
 END_TEST
 
-/* A route that is not known here may stand in the configuration that the peer holds. */
+/* The newer configuration of the peer may contain the route. */
 START_TEST(unknown_route_gets_503_while_configuration_is_stale)
 {
     enum { NEWER = 1000 };
@@ -344,7 +345,7 @@
 }
 END_TEST
 
-/* Nobody has the newer configuration any more. */
+/* No live instance holds the newer configuration any more. */
 START_TEST(lost_peer_ends_the_stale_configuration_state)
 {
     enum { NEWER = 1000 };
@@ -361,7 +362,7 @@
 }
 END_TEST
 
-/* Versions that follow each other go out together, at a pace. */
+/* Successive versions are combined and rate-limited. */
 START_TEST(large_changes_are_rate_limited)
 {
     /* A change of about 260 kB is followed by a pause of 1 s. */
@@ -376,12 +377,12 @@
     }
     ck_assert_uint_ge(peer->pushes, 2);
     ck_assert_uint_le(peer->pushes, PUSHES_MAX);
-    /* What came last goes out after the pause, though nothing changes any more. */
+    /* The last version is sent after the pause without any further change. */
     RUN_UNTIL(site, peer->version == site->version);
 }
 END_TEST
 
-/* Many that ask at once do not fill the link of one. */
+/* Many requests at once must not saturate the link. */
 START_TEST(view_answers_are_rate_limited)
 {
     enum { ROUTES = 500, REQUESTS = 10, CONFIG_BYTES = 90000, BURST = 256000, RUN_MS = 300 };
@@ -401,7 +402,7 @@
 }
 END_TEST
 
-/* Routes pack about ten times; an older instance gets them as they are. */
+/* Only peers that support compression get compressed bodies. */
 START_TEST(large_bodies_are_compressed_if_the_peer_supports_it)
 {
     enum { ROUTES = 500, ROUTES_BYTES = 80000 };
@@ -426,7 +427,7 @@
 
 START_TEST(view_answers_are_compressed_if_the_peer_supports_it)
 {
-    /* More than a peer is sent that can read the store, unless it is packed. */
+    /* Uncompressed, too large for a peer that can read the store. */
     enum { ROUTES = 1500, REQUESTS = 40 };
     site_t *site = new_site(1);
     site->extra_routes = ROUTES;
@@ -443,7 +444,7 @@
     send_request(peer);
     RUN_UNTIL(site, peer->version == site->version);
     ck_assert_uint_eq(peer->packed_bodies, 1);
-    /* Those beyond the rate are not sent to the store: they ask somebody else. */
+    /* Requests beyond the rate are dropped, not referred to the store. */
     for (int i = 0; i < REQUESTS; i++)
         send_request(peer);
     run_for(site, 3 * HEARTBEAT_MS);
@@ -484,10 +485,11 @@
     free(bytes);
     ck_assert_ptr_nonnull(copy);
     ck_assert_int_eq(copy->body_case, IRIS__ENVELOPE__BODY_LIST_UPDATE);
-    return copy->list_update; /* the test's process ends with it */
+    return copy->list_update; /* not freed, as the test process exits */
 }
 
-/* Entries of backend servers are too small to pack alone; together they pack five times. */
+/* Entries of backend servers are too small to compress individually; a list compresses at least
+ * fourfold. */
 START_TEST(view_list_is_compressed_as_a_whole)
 {
     enum { ENTRIES = 500, PACKED_PART = 4 };
@@ -518,7 +520,7 @@
     ck_assert_uint_eq(update->items[7]->body.len, strlen(bodies[7]));
     ck_assert_uint_eq(view_update_bytes(update), plain);
     ck_assert_uint_eq(view_update_wire_bytes(update), message.bytes);
-    /* It is sent on as it came. */
+    /* The list is forwarded as received. */
     view_message_t again;
     ck_assert(view_message_fill_list(&again, update));
     ck_assert_uint_eq(again.bytes, message.bytes);
@@ -548,8 +550,7 @@
 }
 END_TEST
 
-/* The instance has got these changes before, from another watcher; those behind it in this tree may
- * not have. */
+/* The instance already has these changes, but its children in this tree may not. */
 START_TEST(known_change_is_still_forwarded_once)
 {
     enum { CHANGES = 24, FIRST = 1, BODY_BYTES = 8000 };
@@ -579,15 +580,15 @@
             peer_send(peer->hub, &peer->to[0], &envelope);
     }
     run_for(site, 5 * HEARTBEAT_MS);
-    /* In the order of a revision the peer is behind the instance half of the times; each goes on
-     * once. */
+    /* The peer ranks after the instance for about half of the revisions. Each change is forwarded
+     * at most once. */
     ck_assert_uint_gt(peer->pushes, before);
     ck_assert_uint_le(peer->pushes, before + CHANGES);
     free(body);
 }
 END_TEST
 
-/* What binds goes ahead of a change of hundreds of entries, and only to who takes it. */
+/* Departures precede a change of many entries, for peers that support them. */
 START_TEST(departures_are_sent_before_a_large_change)
 {
     enum { ENTRIES = 60 };
@@ -597,7 +598,7 @@
         peer->unpacks = peer->reads_lists = reads_lists != 0;
         RUN_UNTIL(site, gateway_living(site->gateway) == 2);
         run_for(site, 5 * HEARTBEAT_MS);
-        standin_store_set_delay(site->store, 300); /* so that one watch brings all */
+        standin_store_set_delay(site->store, 300); /* so that one watch answer holds all changes */
         for (int i = 0; i < ENTRIES; i++) {
             char id[16];
             snprintf(id, sizeof(id), "other-%d", i);
@@ -615,7 +616,7 @@
 }
 END_TEST
 
-/* A started instance need not ask the store who there is, nor announce itself again. */
+/* A restarted instance learns the addresses and its announcement from peers, without the store. */
 START_TEST(restarted_peer_gets_a_prompt_reply)
 {
     site_t *site = new_ready_site(1);
@@ -633,7 +634,7 @@
     site_t *site = new_site(1);
     gateway_t *gateway = start_gateway(site, "g-1", &site->store_port, NULL);
     peer_t *peer = new_peer(site, gateway);
-    peer->announced = true; /* so that its messages say that the other was, too */
+    peer->announced = true; /* makes its heartbeats report the gateway as announced */
     use_gateway(site, gateway);
     RUN_UNTIL(site, is_ready(site));
     run_for(site, 1000);
@@ -660,11 +661,12 @@
 }
 END_TEST
 
-/* A large configuration travels along a tree of instances. The scripted peer, one of them, sends
- * nothing on: those behind it ask for what they lack, all others get it unasked. */
+/* The change is distributed along a tree. The scripted peer does not forward it: only the instances
+ * behind it may have to request it. */
 START_TEST(large_change_reaches_all_despite_a_non_forwarding_peer)
 {
-    /* The peer has at most four of fourteen behind it; a busy machine may let more ask. */
+    /* At most four of fourteen instances are behind the peer. The best round counts, as requests
+     * may be more on a loaded machine. */
     enum { INSTANCES = 12, ROUTES = 500, CONFIG_BYTES = 90000, BEHIND_MAX = 4, ROUNDS = 3 };
     gateway_t *others[INSTANCES];
     site_t *site = new_ready_site(1);
