--- a/gateway/membership/members.h
+++ b/gateway/membership/members.h
@@ -17,7 +17,7 @@
 #include "gateway/policy/cold_start.h"
 #include "gateway/ports.h"
 #include "gateway/membership/topology.h"
-#include "gateway/state/view_reads.h"
+#include "gateway/state/view_format.h"
 
 enum {
     MEMBERS_MAX = 2048,         /* design size: 1,400 instances */
@@ -71,7 +71,7 @@
     bool leaving;
     uint32_t store_age_ms;    /* since its last answer from the store, or STORE_AGE_NONE */
     bool store_failing;       /* its requests to the store fail */
-    view_reads_t view_format; /* format of view changes that it accepts */
+    view_format_t view_format; /* format of view changes that it accepts */
     bool announced;           /* its entry is in the store */
     bool supports_suspects;   /* accepts messages about suspects */
     bool supports_accounts;   /* accepts messages about client accounts */
--- a/gateway/membership/suspect_gossip.c
+++ b/gateway/membership/suspect_gossip.c
@@ -89,14 +89,14 @@
 static bool
 is_for_all(const suspect_t *suspect)
 {
-    return suspect->told_to_all || !quarantine_may_resend(suspect_lives(suspect));
+    return suspect->sent_to_all || !quarantine_may_resend(suspect_lives(suspect));
 }
 
 static bool
 has_unsent(const suspects_t *suspects)
 {
     for (size_t i = 0; i < suspects->count; i++) {
-        if (suspects->items[i]->untold)
+        if (suspects->items[i]->unsent)
             return true;
     }
     return false;
@@ -115,11 +115,11 @@
     message.items = list;
     for (size_t i = 0; i < suspects->count; i++) {
         suspect_t *suspect = suspects->items[i];
-        if (!suspect->untold || is_for_all(suspect) != for_all)
+        if (!suspect->unsent || is_for_all(suspect) != for_all)
             continue;
-        suspect->untold = false;
-        suspect->told = true;
-        suspect->told_to_all |= for_all;
+        suspect->unsent = false;
+        suspect->sent = true;
+        suspect->sent_to_all |= for_all;
         suspect_message_t *item = &items[message.n_items];
         suspect_message_fill(item, suspect, now_ms);
         list[message.n_items++] = &item->message;
@@ -167,7 +167,7 @@
     suspect_message_read(message, &received, now_ms);
     const suspect_t *known = suspects_find(gossip->conf.suspects, received.fingerprint);
     const unsigned before = known != NULL ? suspect_lives(known) : 0;
-    suspects_join(gossip->conf.suspects, &received, now_ms);
+    suspects_merge(gossip->conf.suspects, &received, now_ms);
     known = suspects_find(gossip->conf.suspects, received.fingerprint);
     const unsigned lives = known != NULL ? suspect_lives(known) : 0;
     return !is_full_mesh(gossip) && lives > before && !quarantine_may_resend(lives) &&
@@ -181,7 +181,7 @@
     for (size_t i = 0; i < count; i++) {
         if (!merge_one(gossip, items[i]))
             continue;
-        suspects_find(gossip->conf.suspects, items[i]->request)->untold = true;
+        suspects_find(gossip->conf.suspects, items[i]->request)->unsent = true;
         has_resend = true;
     }
     if (has_resend)
@@ -217,7 +217,7 @@
     for (size_t i = 0; i < suspects->count && count < max; i++) {
         const size_t index = ((size_t)round * max + i) % suspects->count;
         const suspect_t *suspect = suspects->items[index];
-        if (!suspect->told || (!is_full_mesh(gossip) && !is_for_all(suspect)))
+        if (!suspect->sent || (!is_full_mesh(gossip) && !is_for_all(suspect)))
             continue;
         suspect_message_fill(&out[count++], suspect, now_ms);
     }
--- a/gateway/state/departure_push.c
+++ b/gateway/state/departure_push.c
@@ -13,7 +13,7 @@
     for (size_t i = 0; i < departures->count; i++) {
         const departure_t *departure = &departures->items[i];
         iris__departure__init(&items[i]);
-        items[i].backend = (char *)(uintptr_t)departure->backend.ptr; /* not written to */
+        items[i].backend = (char *)(uintptr_t)departure->backend.ptr; /* read-only */
         items[i].revision = departure->revision;
         items[i].gone = departure->gone;
         list[i] = &items[i];
@@ -31,7 +31,8 @@
     envelope.body_case = IRIS__ENVELOPE__BODY_DEPARTURES;
     envelope.departures = message;
     for (size_t i = 0; i < receivers->count; i++) {
-        if (receivers->items[i].peer == NULL || receivers->items[i].reads < VIEW_READS_LISTS)
+        if (receivers->items[i].peer == NULL ||
+            receivers->items[i].format < VIEW_FORMAT_PACKED_LIST)
             continue;
         peer_send(hub, receivers->items[i].peer, &envelope);
         sent++;
--- a/gateway/state/store_calls.c
+++ b/gateway/state/store_calls.c
@@ -20,8 +20,9 @@
 };
 
 static const char *const reason_names[] = {
-    [STORE_FOR_START] = "start",     [STORE_FOR_PAGE] = "page", [STORE_FOR_CHANGES] = "changes",
-    [STORE_FOR_HISTORY] = "history", [STORE_FOR_PEER] = "peer", [STORE_FOR_RETURN] = "return",
+    [STORE_REASON_START] = "start",        [STORE_REASON_NEXT_PAGE] = "page",
+    [STORE_REASON_CHANGES] = "changes",    [STORE_REASON_HISTORY_GONE] = "history",
+    [STORE_REASON_PEER_REFERRAL] = "peer", [STORE_REASON_RECOVERY_PROBE] = "return",
 };
 
 void
@@ -31,7 +32,7 @@
     snprintf(labels, sizeof(labels), "kind=\"%s\",call=\"%s\",reason=\"%s\"", kind_names[kind],
              call_names[call], reason_names[reason]);
     counter_add(counter_get("irisstall_store_calls_by_reason_total", labels,
-                            "Calls to the platform's store, by what they were made for."),
+                            "Calls to the platform's store, by kind of object, call and reason."),
                 1);
     LOG_INFO("store called: kind=%s call=%s reason=%s", kind_names[kind], call_names[call],
              reason_names[reason]);
--- a/gateway/state/store_watch.c
+++ b/gateway/state/store_watch.c
@@ -11,24 +11,23 @@
 #include "gateway/state/store_watch.h"
 
 enum {
-    /* A watch rests this long at most. Shorter ones cost more calls; 1 s was ruled out since
-     * silence would still be noticed too late (commit cdee74c). */
+    /* Longest duration of a watch. Shorter ones cost more calls; longer ones delay the detection of
+     * a silent store. */
     WATCH_WAIT_MS = 3000,
-    WATCH_WAIT_FAILING_MS = 20, /* an answer at once: is the store back? Chosen (commit ce9d245) */
-    RETRY_MIN_MS = 200,         /* one tick; the pause grows by this much with each failure */
-    RETRY_MAX_MS = 1000,        /* of one that needs a view. Chosen, not measured */
-    /* While the store fails, one call tells whether it is back, and another follows if it has not
-     * ended after this time: a large answer on a small link would hold up the removal of a backend
-     * server. Above the time that a failing watch has. Chosen, not measured. */
-    PROBE_MS = 1000,
-    FAILURES_FAILING = 2, /* in a row, after which the store fails this instance. Chosen */
-    /* An instance that had to watch goes on for this time, so that instances do not take turns in
-     * fifths of a second (commit 35bcf57). */
+    WATCH_WAIT_PROBE_MS = 20, /* short, as only reachability matters */
+    RETRY_MIN_MS = 200,       /* one tick; the pause grows by this much with each failure */
+    RETRY_MAX_MS = 1000,      /* limit for a kind that needs a list */
+    /* While the store fails, one probe runs at a time; another kind is probed if it has not ended
+     * after this time, as a large answer on a slow link would delay the removal of a backend
+     * server. Exceeds the timeout of a failing watch. */
+    PROBE_INTERVAL_MS = 1000,
+    FAILING_THRESHOLD = 2, /* consecutive failures after which the store counts as failing */
+    /* Minimum duration of a takeover; prevents watchers from alternating every tick. */
     FALLBACK_MS = 3000,
-    /* A watch that is answered sooner found changes that were there already: the way to the store
-     * and back takes some milliseconds, 70 between regions. Chosen. */
-    AT_ONCE_MS = 100,
-    KEY_SEED = 61, /* any number */
+    /* A watch answered sooner returned changes that existed before it started. Exceeds the round
+     * trip to the store, including from other regions. */
+    IMMEDIATE_ANSWER_MS = 100,
+    START_DELAY_SEED = 61, /* arbitrary */
 };
 
 void
@@ -53,12 +52,12 @@
 }
 
 static view_t *
-view_of(const kind_watch_t *kind)
+watched_view(const kind_watch_t *kind)
 {
     return &kind->owner->conf.views->items[kind->kind];
 }
 
-/* ---- who watches, and the store's state ---- */
+/* ---- watcher selection and store state ---- */
 
 static size_t
 rank_of(const store_watch_t *watch, bool served, uint64_t now_ms)
@@ -68,27 +67,27 @@
 }
 
 static bool
-peers_watch(const store_watch_t *watch, uint64_t now_ms)
+region_has_watcher(const store_watch_t *watch, uint64_t now_ms)
 {
     const uint32_t age_max_ms =
         members_store_age_max_ms(watch->conf.members, watch->conf.region, now_ms);
     return members_watch_store(watch->conf.members, watch->conf.region, age_max_ms, now_ms);
 }
 
-/* A started instance leaves the store to its peers for some time. */
+/* A starting instance first waits for its peers to send the views. */
 static bool
-has_waited(const store_watch_t *watch, uint64_t now_ms)
+is_start_delay_over(const store_watch_t *watch, uint64_t now_ms)
 {
-    const uint64_t key = str_hash(name_str(&watch->instance), KEY_SEED);
+    const uint64_t key = str_hash(name_str(&watch->instance), START_DELAY_SEED);
     return now_ms - watch->started_ms >= store_schedule_startup_delay_ms(key, watch->conf.is_seed);
 }
 
-/* True if no instance of the region watches the store, as far as is known here, and it is this
- * one's turn to. */
+/* True if no instance of the region seems to watch the store and this one is next in rank to do
+ * so. */
 static bool
-takes_over(store_watch_t *watch, uint64_t now_ms)
+should_take_over(store_watch_t *watch, uint64_t now_ms)
 {
-    if (peers_watch(watch, now_ms)) {
+    if (region_has_watcher(watch, now_ms)) {
         watch->unwatched_ms = 0;
         return false;
     }
@@ -101,11 +100,11 @@
 should_watch(store_watch_t *watch)
 {
     const uint64_t now_ms = loop_now(watch->conf.loop);
-    if (watch->stopped || !has_waited(watch, now_ms))
+    if (watch->stopped || !is_start_delay_over(watch, now_ms))
         return false;
     if (store_schedule_watches(rank_of(watch, true, now_ms)))
         return true;
-    if (takes_over(watch, now_ms)) {
+    if (should_take_over(watch, now_ms)) {
         watch->fallback_until_ms = now_ms + FALLBACK_MS;
         watch->failed_ms = now_ms;
     }
@@ -118,61 +117,64 @@
     return members_store_age_max_ms(watch->conf.members, watch->conf.region, now_ms);
 }
 
-/* Only if it fails everybody is the store away, and entries may lapse. */
+/* An outage is assumed only if the store fails for all instances; only then can entries expire
+ * unintentionally. */
 static void
-notice_outage(store_watch_t *watch, uint64_t now_ms)
+detect_outage(store_watch_t *watch, uint64_t now_ms)
 {
     const bool fails = store_watch_is_failing(watch);
-    if (watch->away || !members_store_is_down(watch->conf.members, name_str(&watch->instance),
-                                              fails, answer_age_max_ms(watch, now_ms), now_ms))
+    if (watch->in_outage || !members_store_is_down(watch->conf.members, name_str(&watch->instance),
+                                                   fails, answer_age_max_ms(watch, now_ms), now_ms))
         return;
-    watch->away = true;
-    watch->away_ms = now_ms;
-    LOG_WARN("store away for all: failures=%u", watch->failures);
+    watch->in_outage = true;
+    watch->outage_ms = now_ms;
+    LOG_WARN("store outage detected: failures=%u", watch->failures);
 }
 
-/* A call of this instance has failed. One that hung over the first sign of the store's return says
- * nothing of the time after that. */
+/* Records a failed call. A call that started before the store's recovery does not indicate a new
+ * outage. */
 static void
-notice_failure(store_watch_t *watch, const kind_watch_t *failed, uint64_t now_ms)
+record_failure(store_watch_t *watch, const kind_watch_t *failed, uint64_t now_ms)
 {
     watch->failed_ms = now_ms;
-    if (failed->called_ms >= watch->returned_ms && store_watch_is_failing(watch))
-        notice_outage(watch, now_ms);
+    if (failed->called_ms >= watch->recovered_ms && store_watch_is_failing(watch))
+        detect_outage(watch, now_ms);
 }
 
-/* The first sign ends it: an answer here, a peer that the store serves, a change that one tells. */
+/* Ends the outage on the first evidence: an answer here, a peer that the store serves, or a change
+ * received from a peer. */
 static void
-notice_return(store_watch_t *watch, const char *sign)
+end_outage(store_watch_t *watch, const char *sign)
 {
-    if (!watch->away)
+    if (!watch->in_outage)
         return;
-    watch->away = false;
-    watch->returned_ms = loop_now(watch->conf.loop);
-    LOG_INFO("store back: sign=%s", sign);
+    watch->in_outage = false;
+    watch->recovered_ms = loop_now(watch->conf.loop);
+    LOG_INFO("store outage ended: sign=%s", sign);
 }
 
-/* What other instances say of the store. */
+/* Updates the store state from the heartbeats of other instances. */
 static void
-notice_peers(store_watch_t *watch)
+update_from_peers(store_watch_t *watch)
 {
     const members_t *members = watch->conf.members;
     const uint64_t now_ms = loop_now(watch->conf.loop);
-    const bool calls = watch->watching || watch->failures > 0;
+    const bool calls_store = watch->watching || watch->failures > 0;
     if (members_any_store_failure(members, now_ms))
         watch->failed_ms = now_ms;
     if (members_store_serves(members, answer_age_max_ms(watch, now_ms), now_ms))
-        notice_return(watch, "peer");
-    else if (!calls)
-        notice_outage(watch, now_ms);
+        end_outage(watch, "peer");
+    else if (!calls_store)
+        detect_outage(watch, now_ms);
 }
 
-/* A call that was begun before the outage was noticed and is answered: only others failed. */
+/* Cancels an outage: a call started before its detection was answered, so only other instances
+ * failed. */
 static void
-withdraw_outage(store_watch_t *watch)
+cancel_outage(store_watch_t *watch)
 {
-    watch->away = false;
-    LOG_INFO("store not away: failures=%u", watch->failures);
+    watch->in_outage = false;
+    LOG_INFO("store outage cancelled: failures=%u", watch->failures);
 }
 
 static void
@@ -180,22 +182,22 @@
 {
     store_watch_t *watch = kind->owner;
     kind->answered_ms = loop_now(watch->conf.loop);
-    if (watch->away && kind->called_ms < watch->away_ms)
-        withdraw_outage(watch);
-    notice_return(watch, "answer");
+    if (watch->in_outage && kind->called_ms < watch->outage_ms)
+        cancel_outage(watch);
+    end_outage(watch, "answer");
     if (watch->failures > 0)
-        LOG_INFO("store regained: failures=%u", watch->failures);
+        LOG_INFO("store calls recovered: failures=%u", watch->failures);
     watch->failures = 0;
     watch->probe_at_ms = 0;
 }
 
-/* A started instance reads each kind that peers have not brought, whoever watches. */
+/* A starting instance reads every kind that peers have not sent, whoever watches. */
 static bool
-is_needed_once(const kind_watch_t *kind)
+needs_single_list(const kind_watch_t *kind)
 {
     const store_watch_t *watch = kind->owner;
     return kind->read_once ||
-           (!view_of(kind)->known && has_waited(watch, loop_now(watch->conf.loop)));
+           (!watched_view(kind)->known && is_start_delay_over(watch, loop_now(watch->conf.loop)));
 }
 
 static uint64_t
@@ -204,13 +206,11 @@
     const store_watch_t *watch = kind->owner;
     const uint64_t now_ms = loop_now(watch->conf.loop);
     const uint64_t pause_ms = (uint64_t)RETRY_MIN_MS * watch->failures;
-    if (is_needed_once(kind))
+    if (needs_single_list(kind))
         return pause_ms < RETRY_MAX_MS ? pause_ms : RETRY_MAX_MS;
-    const size_t instances =
-        members_count_alive_in_region(watch->conf.members, watch->conf.region, now_ms);
-    const uint64_t look_ms =
-        store_schedule_probe_interval_ms(rank_of(watch, false, now_ms), instances);
-    return store_watch_is_failing(watch) || pause_ms > look_ms ? look_ms : pause_ms;
+    const size_t instances = members_count_alive_in_region(watch->conf.members, watch->conf.region, now_ms);
+    const uint64_t probe_pause_ms = store_schedule_probe_interval_ms(rank_of(watch, false, now_ms), instances);
+    return store_watch_is_failing(watch) || pause_ms > probe_pause_ms ? probe_pause_ms : pause_ms;
 }
 
 static void
@@ -219,13 +219,13 @@
     store_watch_t *watch = kind->owner;
     const uint64_t now_ms = loop_now(watch->conf.loop);
     if (watch->failures++ == 0) {
-        LOG_WARN("store lost: kind=%d outcome=%d detail=\"%s\"", kind->kind, answer->outcome,
-                 answer->err.detail);
-        watch->probed = VIEW_CONFIG; /* it is asked for last: its answer may be the largest */
+        LOG_WARN("store calls failing: kind=%d outcome=%d detail=\"%s\"", kind->kind,
+                 answer->outcome, answer->err.detail);
+        watch->last_probed = VIEW_CONFIG; /* probed last, since its answer may be the largest */
     }
-    notice_failure(watch, kind, now_ms);
+    record_failure(watch, kind, now_ms);
     kind->retry_at_ms = now_ms + retry_pause_ms(kind);
-    if (kind->kind == watch->probed)
+    if (kind->kind == watch->last_probed)
         watch->probe_at_ms = kind->retry_at_ms;
 }
 
@@ -243,9 +243,9 @@
     kind->page_count = 0;
 }
 
-/* Copies the answer's items behind those of the earlier pages. */
+/* Appends copies of the answer's items to the earlier pages. */
 static void
-keep_page(kind_watch_t *kind, const store_answer_t *answer)
+append_page(kind_watch_t *kind, const store_answer_t *answer)
 {
     const size_t total = kind->page_count + answer->item_count;
     kind->pages = xrealloc(kind->pages, (total + 1) * sizeof(*kind->pages));
@@ -263,30 +263,30 @@
 list_reason(const kind_watch_t *kind)
 {
     if (kind->page_count > 0)
-        return STORE_FOR_PAGE;
+        return STORE_REASON_NEXT_PAGE;
     if (kind->owner->failures > 0)
-        return STORE_FOR_RETURN;
-    if (!view_of(kind)->known)
-        return STORE_FOR_START;
-    return kind->list_needed ? STORE_FOR_HISTORY : STORE_FOR_PEER;
+        return STORE_REASON_RECOVERY_PROBE;
+    if (!watched_view(kind)->known)
+        return STORE_REASON_START;
+    return kind->list_needed ? STORE_REASON_HISTORY_GONE : STORE_REASON_PEER_REFERRAL;
 }
 
-/* The view has changed: it is applied here first, then sent on. */
+/* Applies the change locally, then passes it on to the peers. */
 static void
-tell_change(kind_watch_t *kind, const view_delta_t *delta, const char *source, uint64_t age_ms)
+publish_change(kind_watch_t *kind, const view_delta_t *delta, const char *source, uint64_t age_ms)
 {
     const store_watch_t *watch = kind->owner;
     views_changed(watch->conf.views, kind->kind, source, age_ms, loop_now(watch->conf.loop));
     watch->conf.on_delta(watch->conf.ctx, delta);
 }
 
-/* The pages hold the whole list. What changed since the view was current is sent on, as after a
- * watch: after an outage all of a region would read the list otherwise. */
+/* Applies the completed list. The difference to the previous view is pushed to peers as after a
+ * watch; otherwise a whole region would read the list after an outage. */
 static void
-take_list(kind_watch_t *kind)
+apply_list(kind_watch_t *kind)
 {
     store_watch_t *watch = kind->owner;
-    view_t *view = view_of(kind);
+    view_t *view = watched_view(kind);
     const bool was_known = view->known;
     const view_delta_t delta = {
         .kind = kind->kind,
@@ -300,7 +300,7 @@
     kind->read_once = false;
     kind->current_ms = kind->called_ms;
     if (result == VIEW_CHANGED && was_known)
-        tell_change(kind, &delta, "list", age_ms);
+        publish_change(kind, &delta, "list", age_ms);
     else if (result == VIEW_CHANGED)
         views_changed(watch->conf.views, kind->kind, "list", VIEW_AGE_MAX_MS + 1,
                       loop_now(watch->conf.loop));
@@ -332,31 +332,31 @@
     on_store_answered(kind);
     if (kind->page_count == 0)
         kind->list_at = answer->at;
-    keep_page(kind, answer);
+    append_page(kind, answer);
     if (answer->more && answer->item_count > 0) {
         list_after(kind, kind->pages[kind->page_count - 1].name);
         return;
     }
-    take_list(kind);
+    apply_list(kind);
     store_watch_tick(watch);
 }
 
 /* ---- watch ---- */
 
-/* Age in milliseconds of the oldest change that the watch has brought, at the most: one that rested
- * is answered by the change, one that was answered at once brings changes that came before it. */
+/* Upper bound of the age of the changes returned by the watch, in milliseconds. A watch that was
+ * waiting is answered by the change itself; one answered immediately returns earlier changes. */
 static uint64_t
 changes_age_ms(const kind_watch_t *kind)
 {
     const uint64_t now_ms = loop_now(kind->owner->conf.loop);
-    const bool rested = now_ms - kind->called_ms > AT_ONCE_MS;
-    return now_ms - (rested ? now_ms : kind->current_ms);
+    const bool was_waiting = now_ms - kind->called_ms > IMMEDIATE_ANSWER_MS;
+    return now_ms - (was_waiting ? now_ms : kind->current_ms);
 }
 
 static void
 apply_delta(kind_watch_t *kind, const store_answer_t *answer)
 {
-    view_t *view = view_of(kind);
+    view_t *view = watched_view(kind);
     const view_delta_t delta = {
         .kind = kind->kind,
         .from = kind->watched_from,
@@ -365,17 +365,17 @@
     const uint64_t age_ms = changes_age_ms(kind);
     kind->current_ms = loop_now(kind->owner->conf.loop);
     if (view_apply(view, answer->items, answer->item_count, delta.from, answer->at) == VIEW_CHANGED)
-        tell_change(kind, &delta, "watch", age_ms);
+        publish_change(kind, &delta, "watch", age_ms);
 }
 
-/* The next watch starts some time later, so that changes in quick succession come together. */
+/* Delays the next watch after changes, so that a burst of changes is read together. */
 static void
 on_watch(void *ctx, const store_answer_t *answer)
 {
     kind_watch_t *kind = ctx;
     kind->state = WATCH_IDLE;
     if (answer->outcome == STORE_HISTORY_GONE) {
-        LOG_INFO("store forgot its history: kind=%d from=%llu", kind->kind,
+        LOG_INFO("store history unavailable: kind=%d from=%llu", kind->kind,
                  (unsigned long long)kind->watched_from);
         kind->list_needed = true;
         on_store_answered(kind);
@@ -383,7 +383,7 @@
         return;
     }
     if (answer->outcome != STORE_OK) {
-        /* The same watch would be answered in the same way; a list tells each object once. */
+        /* The same watch would fail again; a list returns each object once. */
         kind->list_needed |= answer->outcome == STORE_UNUSABLE;
         on_store_failed(kind, answer);
         return;
@@ -399,16 +399,17 @@
 {
     const store_watch_t *watch = kind->owner;
     const store_port_t *store = watch->conf.store;
-    if (kind->list_needed || kind->read_once || !view_of(kind)->known) {
+    if (kind->list_needed || kind->read_once || !watched_view(kind)->known) {
         list_after(kind, STR(""));
         return;
     }
     kind->state = WATCH_WATCHING;
     kind->called_ms = loop_now(watch->conf.loop);
-    kind->watched_from = view_of(kind)->at;
+    kind->watched_from = watched_view(kind)->at;
     const bool fails = watch->failures > 0;
-    const uint32_t wait_ms = fails ? WATCH_WAIT_FAILING_MS : WATCH_WAIT_MS;
-    store_calls_count(kind->kind, STORE_CALL_WATCH, fails ? STORE_FOR_RETURN : STORE_FOR_CHANGES);
+    const uint32_t wait_ms = fails ? WATCH_WAIT_PROBE_MS : WATCH_WAIT_MS;
+    store_calls_count(kind->kind, STORE_CALL_WATCH,
+                      fails ? STORE_REASON_RECOVERY_PROBE : STORE_REASON_CHANGES);
     store->watch(store->ctx, kind->kind, kind->watched_from, wait_ms, on_watch, kind);
 }
 
@@ -416,13 +417,13 @@
 is_due(const kind_watch_t *kind)
 {
     const store_watch_t *watch = kind->owner;
-    const bool looks_again = watch->failures > 0;
-    const bool asked_for = is_needed_once(kind) || looks_again;
-    const bool wanted = watch->watching || (asked_for && !watch->stopped);
+    const bool is_retrying = watch->failures > 0;
+    const bool is_requested = needs_single_list(kind) || is_retrying;
+    const bool wanted = watch->watching || (is_requested && !watch->stopped);
     return wanted && kind->state == WATCH_IDLE && loop_now(watch->conf.loop) >= kind->retry_at_ms;
 }
 
-/* One call at a time tells when the store is back; the kinds take turns. */
+/* Probes one kind at a time, in turn, until the store answers. */
 static void
 probe(store_watch_t *watch)
 {
@@ -430,11 +431,11 @@
     if (now_ms < watch->probe_at_ms)
         return;
     for (unsigned i = 1; i <= VIEW_WATCHED; i++) {
-        const view_kind_t next = (watch->probed + i) % VIEW_WATCHED;
+        const view_kind_t next = (watch->last_probed + i) % VIEW_WATCHED;
         if (!is_due(&watch->kinds[next]))
             continue;
-        watch->probed = next;
-        watch->probe_at_ms = now_ms + PROBE_MS;
+        watch->last_probed = next;
+        watch->probe_at_ms = now_ms + PROBE_INTERVAL_MS;
         call_store(&watch->kinds[next]);
         return;
     }
@@ -447,7 +448,7 @@
     if (watching != watch->watching)
         LOG_INFO("%s the store", watching ? "watching" : "no longer watching");
     watch->watching = watching;
-    notice_peers(watch);
+    update_from_peers(watch);
     if (watch->failures > 0) {
         probe(watch);
         return;
@@ -476,28 +477,28 @@
 }
 
 static uint64_t
-since(const store_watch_t *watch, uint64_t moment_ms)
+elapsed_ms(const store_watch_t *watch, uint64_t then_ms)
 {
-    return moment_ms > 0 ? loop_now(watch->conf.loop) - moment_ms : REMOVAL_NEVER;
+    return then_ms > 0 ? loop_now(watch->conf.loop) - then_ms : REMOVAL_NEVER;
 }
 
 bool
 store_watch_is_failing(const store_watch_t *watch)
 {
-    return watch->failures >= FAILURES_FAILING;
+    return watch->failures >= FAILING_THRESHOLD;
 }
 
 void
 store_watch_view_changed(store_watch_t *watch)
 {
-    notice_return(watch, "change");
+    end_outage(watch, "change");
 }
 
 removal_store_t
-store_watch_trouble(const store_watch_t *watch)
+store_watch_outage_state(const store_watch_t *watch)
 {
     return (removal_store_t){
-        .since_return_ms = watch->away ? 0 : since(watch, watch->returned_ms),
-        .since_failure_ms = since(watch, watch->failed_ms),
+        .since_return_ms = watch->in_outage ? 0 : elapsed_ms(watch, watch->recovered_ms),
+        .since_failure_ms = elapsed_ms(watch, watch->failed_ms),
     };
 }
--- a/gateway/state/view_relay.c
+++ b/gateway/state/view_relay.c
@@ -12,16 +12,15 @@
 #include "gateway/state/view_message.h"
 
 enum {
-    REQUEST_EVERY_MS = 600, /* an instance asks for a view at most this often. Chosen */
-    /* A started instance asks those of its own region first: a whole view is some 80 kB. Chosen:
-     * above the time in which they are heard of. */
-    START_NEAR_MS = 600,
-    START_REQUEST_EVERY_MS = 200, /* until it knows a view; each time another peer. Chosen */
-    /* Bytes of a view that a peer gets; a larger one it reads from the store. In the sweep at 300
-     * instances whole views of 1 MB made most of the bytes (commit 59548b9). */
-    WHOLE_MAX = 200000,
-    /* No answer is expected to pack to less than this part: routes pack 9 to 12 times. Chosen. */
-    PACK_PART = 16,
+    REQUEST_INTERVAL_MS = 600, /* minimum interval between requests for a view */
+    /* A starting instance first asks peers of its own region, as whole views are large. Exceeds the
+     * time in which those peers are discovered. */
+    START_OWN_REGION_MS = 600,
+    START_REQUEST_INTERVAL_MS = 200, /* until the view is known */
+    /* A peer that can read the store gets no whole view above this size. */
+    WHOLE_MAX_BYTES = 200000,
+    /* Upper bound of the expected compression ratio; routes reach 9 to 12. */
+    PACK_RATIO_MAX = 16,
 };
 
 void
@@ -38,11 +37,11 @@
     relay_lag_reached(&relay->kinds[kind].lag, relay->conf.views->items[kind].at);
 }
 
-/* ---- answering a request ---- */
+/* ---- answering requests ---- */
 
-/* False if answers have taken all that they may for now. A whole burst is always enough. */
+/* True if the rate limit has room for an answer of that size. A full burst always suffices. */
 static bool
-has_room(view_relay_t *relay, size_t bytes)
+has_answer_budget(view_relay_t *relay, size_t bytes)
 {
     const double burst = relay_response_burst(relay->conf.link_bytes_per_s);
     const double needed = (double)bytes < burst ? (double)bytes : burst;
@@ -50,33 +49,36 @@
 }
 
 static bool
-may_answer(view_relay_t *relay, size_t bytes)
+take_answer_budget(view_relay_t *relay, size_t bytes)
 {
-    if (!has_room(relay, bytes))
+    if (!has_answer_budget(relay, bytes))
         return false;
     bucket_charge(&relay->answers, (double)bytes, loop_now(relay->conf.loop));
     return true;
 }
 
-/* Packs the answer for a peer that takes it so; false if there is no room for it even then: packing
- * a large configuration for each of a region that asks at once would hold up requests. */
+/* Compresses the answer if the peer accepts it. False if the answer would exceed the rate limit
+ * even when compressed; this avoids compressing a large configuration for every peer of a region
+ * that asks at once. */
 static bool
 pack_answer(view_relay_t *relay, view_message_t *message, const Iris__ViewRequest *request)
 {
     if (!request->unpacks)
         return true;
-    if (!has_room(relay, message->bytes / PACK_PART))
+    if (!has_answer_budget(relay, message->bytes / PACK_RATIO_MAX))
         return false;
-    view_message_pack(message, request->reads_lists ? VIEW_READS_LISTS : VIEW_READS_BODIES);
+    view_message_pack(message,
+                      request->reads_lists ? VIEW_FORMAT_PACKED_LIST : VIEW_FORMAT_PACKED_BODIES);
     return true;
 }
 
-/* False if the peer is to read the store instead. One without room is refused by send_reply(). */
+/* False if the peer is to read the store instead. An answer beyond the rate limit is dropped by
+ * send_reply(). */
 static bool
 prepare_answer(view_relay_t *relay, view_message_t *message, const Iris__ViewRequest *request)
 {
-    const bool has_a_chance = pack_answer(relay, message, request);
-    return !has_a_chance || request->whole || message->bytes <= WHOLE_MAX;
+    const bool may_fit_budget = pack_answer(relay, message, request);
+    return !may_fit_budget || request->whole || message->bytes <= WHOLE_MAX_BYTES;
 }
 
 static void
@@ -84,18 +86,18 @@
 {
     const Iris__ViewUpdate *update = &message->update;
     const bool sent =
-        may_answer(relay, message->bytes) && peer_offer_reply(conn, &message->envelope);
+        take_answer_budget(relay, message->bytes) && peer_offer_reply(conn, &message->envelope);
     LOG_INFO("view request %s: kind=%u from=%llu at=%llu whole=%d objects=%zu bytes=%zu",
              sent ? "answered" : "not answered", update->kind, (unsigned long long)update->from,
              (unsigned long long)update->at, update->whole, update->n_items, message->bytes);
     if (sent)
         counter_add(counter_get("irisstall_view_bytes_total", "reason=\"request\"",
-                                "Bytes of objects sent to peers, by what made them go."),
+                                "Bytes of view objects sent to peers, by reason."),
                     message->bytes);
 }
 
-/* Answers with what changed since the peer's revision; false if that is not known any more, or is
- * more than a peer sends unless it is needed. */
+/* Answers with the changes since the peer's revision. False if some removals are no longer known,
+ * or if the answer is too large for a peer that can read the store. */
 static bool
 reply_changes(view_relay_t *relay, peer_conn_t *conn, const Iris__ViewRequest *request)
 {
@@ -112,15 +114,15 @@
     message.update.base_digest = request->digest;
     message.update.age_ms = view_age_since(&relay->conf.views->ages[request->kind], request->have,
                                            loop_now(relay->conf.loop));
-    const bool wanted = prepare_answer(relay, &message, request);
-    if (wanted)
+    const bool fits = prepare_answer(relay, &message, request);
+    if (fits)
         send_reply(relay, conn, &message);
     view_message_free(&message);
     free(items);
-    return wanted;
+    return fits;
 }
 
-/* Answers with the view as it was packed for somebody else; false if that is another one. */
+/* Answers with the cached compressed view; false if the cache does not match. */
 static bool
 reply_packed(view_relay_t *relay, peer_conn_t *conn, const Iris__ViewRequest *request)
 {
@@ -142,7 +144,7 @@
 }
 
 static void
-keep_packed(view_relay_t *relay, const view_message_t *message)
+cache_packed(view_relay_t *relay, const view_message_t *message)
 {
     const Iris__ViewUpdate *update = &message->update;
     packed_view_t *packed = &relay->packed[update->kind];
@@ -158,8 +160,8 @@
     };
 }
 
-/* The whole view, or, if it is too large for a peer that can read the store, an empty answer that
- * tells it to. */
+/* Sends the whole view or, if it is too large for a peer that can read the store, an empty answer
+ * that refers the peer to the store. */
 static void
 reply_whole(view_relay_t *relay, peer_conn_t *conn, const Iris__ViewRequest *request)
 {
@@ -176,7 +178,7 @@
     message.update.at = fits ? view->at : 0;
     message.update.whole = fits;
     if (fits)
-        keep_packed(relay, &message);
+        cache_packed(relay, &message);
     send_reply(relay, conn, &message);
     view_message_free(&message);
     free(items);
@@ -186,20 +188,21 @@
 view_relay_on_request(view_relay_t *relay, peer_conn_t *conn, const Iris__ViewRequest *request)
 {
     if (request->kind >= VIEW_WATCHED || !relay->conf.views->items[request->kind].known)
-        return; /* a newer kind, or nothing to tell: the peer asks somebody else later */
+        return; /* unknown kind, or no data yet: the peer asks another instance later */
     if (!reply_changes(relay, conn, request) && !reply_packed(relay, conn, request))
         reply_whole(relay, conn, request);
 }
 
-/* ---- asking ---- */
+/* ---- sending requests ---- */
 
 static void
 request_view(view_relay_t *relay, view_kind_t kind, const addr_t *peer)
 {
     const view_t *view = &relay->conf.views->items[kind];
     const uint64_t now_ms = loop_now(relay->conf.loop);
-    const uint64_t every_ms = view->known ? REQUEST_EVERY_MS : START_REQUEST_EVERY_MS;
-    if (relay->kinds[kind].requested_ms > 0 && now_ms - relay->kinds[kind].requested_ms < every_ms)
+    const uint64_t interval_ms = view->known ? REQUEST_INTERVAL_MS : START_REQUEST_INTERVAL_MS;
+    if (relay->kinds[kind].requested_ms > 0 &&
+        now_ms - relay->kinds[kind].requested_ms < interval_ms)
         return;
     relay->kinds[kind].requested_ms = now_ms;
     Iris__Envelope envelope = IRIS__ENVELOPE__INIT;
@@ -218,15 +221,16 @@
              request.whole);
 }
 
-/* True if it is time to ask a peer that holds the view. */
+/* True if a request to a peer that holds the view is due. */
 static bool
-is_time_to_ask(view_relay_t *relay, view_kind_t kind, const member_t *member)
+should_request(view_relay_t *relay, view_kind_t kind, const member_t *member)
 {
     const uint64_t at = member->views[kind].at;
     const uint64_t now_ms = loop_now(relay->conf.loop);
     relay_lag_t *lag = &relay->kinds[kind].lag;
     if (!relay->conf.views->items[kind].known)
-        return member->region == relay->conf.region || now_ms - relay->started_ms >= START_NEAR_MS;
+        return member->region == relay->conf.region ||
+               now_ms - relay->started_ms >= START_OWN_REGION_MS;
     relay_lag_detected(lag, at, now_ms);
     return relay_lag_should_pull(lag, at, now_ms);
 }
@@ -239,7 +243,7 @@
         view_t *ours = &relay->conf.views->items[kind];
         if (!theirs->known)
             continue;
-        /* A peer that is behind as well says nothing about our own view. */
+        /* A peer that is no newer gives no information about our view. */
         if (ours->known && theirs->at <= ours->at)
             continue;
         if (ours->known && theirs->digest == ours->digest) {
@@ -247,7 +251,7 @@
             view_relay_view_changed(relay, kind);
             continue;
         }
-        if (is_time_to_ask(relay, kind, member))
+        if (should_request(relay, kind, member))
             request_view(relay, kind, &member->peer);
     }
 }
@@ -269,9 +273,9 @@
     return result;
 }
 
-/* The peer sent changes of its own accord. */
+/* Handles an unsolicited change from a peer. */
 static void
-on_change(view_relay_t *relay, const Iris__ViewUpdate *update, view_result_t result)
+on_pushed_change(view_relay_t *relay, const Iris__ViewUpdate *update, view_result_t result)
 {
     relay_lag_t *lag = &relay->kinds[update->kind].lag;
     const uint64_t now_ms = loop_now(relay->conf.loop);
@@ -281,7 +285,7 @@
     view_push_forward(relay->conf.push, update);
 }
 
-/* A whole view, and what an instance sends that does not tell ages, may be of any age. */
+/* A whole view, or an update from an instance that does not report ages, can be of any age. */
 static uint64_t
 update_age_ms(const Iris__ViewUpdate *update)
 {
@@ -292,19 +296,19 @@
 view_relay_on_update(view_relay_t *relay, const peer_conn_t *conn, Iris__ViewUpdate *update)
 {
     if (update->kind >= VIEW_WATCHED)
-        return; /* a kind of a newer version */
+        return; /* a kind added by a newer version */
     if (update->at == 0) {
         store_watch_read_once(relay->conf.watch, update->kind);
         return;
     }
     if (!view_message_unpack(update)) {
-        LOG_WARN("view update not usable: kind=%u at=%llu", update->kind,
+        LOG_WARN("invalid view update: kind=%u at=%llu", update->kind,
                  (unsigned long long)update->at);
         return;
     }
     const view_result_t result = apply_update(&relay->conf.views->items[update->kind], update);
     if (peer_is_unasked(conn))
-        on_change(relay, update, result);
+        on_pushed_change(relay, update, result);
     if (result == VIEW_CHANGED)
         views_changed(relay->conf.views, update->kind, "peer", update_age_ms(update),
                       loop_now(relay->conf.loop));
--- a/test/gateway/test_view.c
+++ b/test/gateway/test_view.c
@@ -1,4 +1,4 @@
-/* Views of the store: lists, changes, digests. */
+/* Views: lists, changes, digests. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -12,7 +12,7 @@
         .name = str_from(name), .revision = revision, .gone = gone, .body = STR("{}")};
 }
 
-START_TEST(view_moves_forward_only)
+START_TEST(view_ignores_older_lists_and_detects_gaps)
 {
     view_t view = {0};
     const store_item_t first[] = {item("a", 3, false), item("b", 5, false)};
@@ -32,7 +32,7 @@
 }
 END_TEST
 
-START_TEST(view_gone_is_not_undone_by_an_older_change)
+START_TEST(late_removal_does_not_delete_recreated_object)
 {
     view_t view = {0};
     const store_item_t first[] = {item("a", 3, false)};
@@ -40,14 +40,14 @@
     const store_item_t gone[] = {item("a", 10, true)};
     view_replace(&view, first, 1, 5);
     view_apply(&view, again, 1, 5, 12);
-    /* The same object was removed and made again: the removal comes late. */
+    /* The removal of the former object arrives after the new one. */
     view_apply(&view, gone, 1, 5, 13);
     ck_assert_ptr_nonnull(view_find(&view, STR("a")));
     view_free(&view);
 }
 END_TEST
 
-START_TEST(view_digests_agree_on_any_path)
+START_TEST(view_digest_is_equal_for_list_and_changes)
 {
     view_t listed = {0};
     view_t followed = {0};
@@ -67,7 +67,7 @@
 }
 END_TEST
 
-START_TEST(view_tells_what_changed_since)
+START_TEST(view_since_returns_changes_and_removals)
 {
     view_t view = {0};
     size_t count;
@@ -84,7 +84,7 @@
     ck_assert_uint_eq(count, 2);
     ck_assert(out[0].gone && str_eq(out[0].name, STR("b")));
     ck_assert(!out[1].gone && str_eq(out[1].name, STR("c")));
-    /* A peer that takes them in holds the same objects. */
+    /* A peer that applies the result holds the same objects. */
     view_t peer = {0};
     view_replace(&peer, first, 2, 5);
     ck_assert_int_eq(view_apply(&peer, out, count, 5, 9), VIEW_CHANGED);
@@ -95,10 +95,10 @@
 }
 END_TEST
 
-/* However many objects changed: only removals are kept apart, and so many of them. */
-START_TEST(view_tells_many_changes_but_not_all_removals)
+/* Any number of changes is available, but only a fixed number of removals. */
+START_TEST(view_since_is_limited_by_the_removal_ring)
 {
-    enum { MANY = 2 * VIEW_REMOVALS };
+    enum { MANY = 2 * VIEW_REMOVALS_MAX };
     view_t view = {0};
     size_t count;
     char name[16];
@@ -112,7 +112,7 @@
     ck_assert_ptr_nonnull(out);
     ck_assert_uint_eq(count, MANY);
     free(out);
-    for (uint64_t i = 0; i <= VIEW_REMOVALS; i++) {
+    for (uint64_t i = 0; i <= VIEW_REMOVALS_MAX; i++) {
         const uint64_t at = 10 + MANY + i;
         snprintf(name, sizeof(name), "%04d", (int)i);
         const store_item_t gone[] = {item(name, at, true)};
@@ -121,14 +121,14 @@
     ck_assert_ptr_null(view_since(&view, 5, &count));
     out = view_since(&view, 10 + MANY, &count);
     ck_assert_ptr_nonnull(out);
-    ck_assert_uint_eq(count, VIEW_REMOVALS);
+    ck_assert_uint_eq(count, VIEW_REMOVALS_MAX);
     free(out);
     view_free(&view);
 }
 END_TEST
 
-/* Found on the users' bench: a peer that was behind got 19 versions of one object. */
-START_TEST(view_tells_each_object_once)
+/* A peer that is behind must not get every version of an object that changed often. */
+START_TEST(view_since_returns_each_object_once)
 {
     view_t view = {0};
     size_t count;
@@ -142,7 +142,7 @@
     ck_assert_uint_eq(count, 1);
     ck_assert_uint_eq(out[0].revision, 25);
     free(out);
-    /* It goes and comes again. */
+    /* Removed, then created again. */
     const store_item_t gone[] = {item("a", 26, true)};
     const store_item_t back[] = {item("a", 27, false)};
     view_apply(&view, gone, 1, 25, 26);
@@ -164,12 +164,12 @@
 {
     Suite *suite = suite_create("gateway: view");
     TCase *tests = tcase_create("view");
-    tcase_add_test(tests, view_moves_forward_only);
-    tcase_add_test(tests, view_gone_is_not_undone_by_an_older_change);
-    tcase_add_test(tests, view_digests_agree_on_any_path);
-    tcase_add_test(tests, view_tells_what_changed_since);
-    tcase_add_test(tests, view_tells_many_changes_but_not_all_removals);
-    tcase_add_test(tests, view_tells_each_object_once);
+    tcase_add_test(tests, view_ignores_older_lists_and_detects_gaps);
+    tcase_add_test(tests, late_removal_does_not_delete_recreated_object);
+    tcase_add_test(tests, view_digest_is_equal_for_list_and_changes);
+    tcase_add_test(tests, view_since_returns_changes_and_removals);
+    tcase_add_test(tests, view_since_is_limited_by_the_removal_ring);
+    tcase_add_test(tests, view_since_returns_each_object_once);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_view_relay.c
+++ b/test/gateway/test_view_relay.c
@@ -1,4 +1,4 @@
-/* View relay: what an instance sends a peer of its views, and what it asks for. */
+/* View relay: what an instance sends to a peer, and what it requests. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -16,36 +16,36 @@
 
 enum {
     HEARTBEAT_MS = 100,
-    SOCKET_BYTES = 4096, /* that a peer takes which does not read */
+    SOCKET_BYTES = 4096, /* receive buffer of a peer that does not read */
     GATEWAYS_MAX = 16,
 };
 
-/* A scripted instance: it sends heartbeats, and counts what it is asked for. */
+/* A scripted peer that sends heartbeats and counts the messages it receives. */
 typedef struct {
     site_t *site;
     peer_hub_t *hub;
-    addr_t to[GATEWAYS_MAX]; /* the gateways; changes go to the first */
+    addr_t to[GATEWAYS_MAX]; /* the gateways; changes are sent to the first */
     size_t to_count;
-    addr_t address; /* where the gateway reaches the peer */
+    addr_t address; /* address at which the gateways reach the peer */
     uv_timer_t timer;
-    uint64_t at;          /* revision of the configuration that its heartbeats tell */
-    uint64_t late;        /* revision up to which it sends changes, one a heartbeat; 0: none */
-    size_t requests;      /* for the configuration, of a view that is known already */
-    size_t pushes;        /* changes of the configuration that it was sent */
-    uint64_t from;        /* of the last one: the changes came after this revision */
-    uint64_t up_to;       /* and led up to this one */
-    unsigned version;     /* of the configuration that it brought */
-    bool unpacks;         /* its messages say that it takes packed bodies */
-    size_t sent_away;     /* answers that told it to read the store */
-    size_t packed;        /* changes and answers that came so */
-    bool silent;          /* it sends no heartbeats any more */
-    bool reads_lists;     /* its messages say that it takes lists packed together */
-    size_t lists;         /* changes that came so */
-    size_t departed;      /* backend servers that it was told of ahead of a change */
-    bool announced;       /* it says that the store has its entry */
-    uint64_t life;        /* its incarnation; 0: the first */
-    bool heard_announced; /* it was told that it said so in an earlier life */
-    size_t addresses;     /* of instances that it was told */
+    uint64_t at;               /* configuration revision reported in heartbeats */
+    uint64_t next_change_from; /* base of the change sent with the next heartbeat; 0: none */
+    size_t requests;        /* requests received for a configuration already known to the gateway */
+    size_t pushes;          /* configuration updates received */
+    uint64_t from_received; /* base revision of the last one */
+    uint64_t at_received;   /* revision of the last one */
+    unsigned version;       /* version in the last configuration received */
+    bool unpacks;           /* announces support for compressed bodies */
+    size_t store_referrals; /* answers that referred it to the store */
+    size_t packed_bodies;   /* updates received with compressed bodies */
+    bool silent;            /* sends no heartbeats */
+    bool reads_lists;       /* announces support for compressed lists */
+    size_t packed_lists;    /* updates received as compressed lists */
+    size_t departures_received; /* departing backend servers received ahead of a change */
+    bool announced;             /* claims to have an entry in the store */
+    uint64_t restarts;          /* added to the incarnation */
+    bool heard_announced;       /* was told that it announced itself in an earlier incarnation */
+    size_t addresses_received;  /* instance addresses received */
 } peer_t;
 
 static void
@@ -64,7 +64,7 @@
     addr_format(&peer->address, address);
     heartbeat.instance = "p-1";
     heartbeat.place = "a1";
-    heartbeat.incarnation = 1 + peer->life;
+    heartbeat.incarnation = 1 + peer->restarts;
     heartbeat.announced = peer->announced;
     heartbeat.was_announced = peer->announced;
     heartbeat.reads_lists = peer->reads_lists;
@@ -82,7 +82,8 @@
         peer_send(peer->hub, &peer->to[i], &envelope);
 }
 
-/* The configuration as of a revision: whole, or as a change since `from`. */
+/* Fills in the configuration at revision `at`: whole if `from` is 0, else as a change since
+ * `from`. */
 static void
 fill_update(Iris__ViewUpdate *update, Iris__ViewItem *item, uint64_t from, uint64_t at)
 {
@@ -114,7 +115,7 @@
     peer_send(peer->hub, &peer->to[0], &envelope);
 }
 
-/* Asks for the whole configuration. */
+/* Requests the whole configuration. */
 static void
 send_request(peer_t *peer)
 {
@@ -128,9 +129,9 @@
     peer_send(peer->hub, &peer->to[0], &envelope);
 }
 
-/* The version that stands in a configuration. */
+/* Extracts the version field of a configuration. */
 static unsigned
-version_of(const Iris__ViewItem *item)
+config_version(const Iris__ViewItem *item)
 {
     json_t *object = json_loadb((const char *)item->body.data, item->body.len, 0, NULL);
     const json_t *version = json_object_get(json_object_get(object, "spec"), "version");
@@ -141,21 +142,21 @@
     return number;
 }
 
-/* Packed bodies come in a kind of message that an older instance leaves, and only there. */
+/* Compressed bodies must come only in envelope types that older instances ignore. */
 static Iris__ViewUpdate *
-update_of(peer_t *peer, const Iris__Envelope *message)
+decode_update(peer_t *peer, const Iris__Envelope *message)
 {
     if (message->body_case == IRIS__ENVELOPE__BODY_PACKED_UPDATE) {
         ck_assert(peer->unpacks);
         ck_assert_uint_gt(message->packed_update->items[0]->unpacked_bytes, 0);
-        peer->packed++;
+        peer->packed_bodies++;
         return message->packed_update;
     }
     if (message->body_case == IRIS__ENVELOPE__BODY_LIST_UPDATE) {
         ck_assert(peer->reads_lists);
         ck_assert_uint_eq(message->list_update->n_items, 0);
         ck_assert(view_message_unpack(message->list_update));
-        peer->lists++;
+        peer->packed_lists++;
         return message->list_update;
     }
     if (message->body_case != IRIS__ENVELOPE__BODY_VIEW_UPDATE)
@@ -174,24 +175,24 @@
         message->view_request->kind == VIEW_CONFIG && message->view_request->have > 0)
         peer->requests++;
     if (message->body_case == IRIS__ENVELOPE__BODY_DEPARTURES)
-        peer->departed += message->departures->n_items;
+        peer->departures_received += message->departures->n_items;
     if (message->body_case == IRIS__ENVELOPE__BODY_GATEWAY) {
         peer->heard_announced |= message->gateway->was_announced;
-        peer->addresses += message->gateway->n_peers;
+        peer->addresses_received += message->gateway->n_peers;
     }
-    Iris__ViewUpdate *update = update_of(peer, message);
+    Iris__ViewUpdate *update = decode_update(peer, message);
     if (update == NULL || update->kind != VIEW_CONFIG)
         return;
     if (update->at == 0) {
-        peer->sent_away++;
+        peer->store_referrals++;
         return;
     }
     peer->pushes++;
-    peer->from = update->from;
-    peer->up_to = update->at;
+    peer->from_received = update->from;
+    peer->at_received = update->at;
     ck_assert_uint_eq(update->n_items, 1);
     ck_assert(view_message_unpack(update));
-    peer->version = version_of(update->items[0]);
+    peer->version = config_version(update->items[0]);
 }
 
 static void
@@ -199,10 +200,10 @@
 {
     peer_t *peer = timer->data;
     send_heartbeat(peer);
-    if (peer->late == 0)
+    if (peer->next_change_from == 0)
         return;
-    send_change(peer, peer->late, peer->late + 1);
-    peer->late++;
+    send_change(peer, peer->next_change_from, peer->next_change_from + 1);
+    peer->next_change_from++;
 }
 
 static peer_t *
@@ -222,7 +223,7 @@
     return peer;
 }
 
-/* Takes the connection and leaves its bytes in a small socket. */
+/* Accepts the connection but never reads from it. */
 static void
 on_accept_and_stall(uv_stream_t *listener, int status)
 {
@@ -232,7 +233,7 @@
     ck_assert_int_eq(uv_accept(listener, (uv_stream_t *)conn), 0);
 }
 
-/* From now on the gateway reaches the peer where nobody reads. */
+/* Redirects the gateway's connection to a listener that does not read. */
 static void
 stall(peer_t *peer)
 {
@@ -249,7 +250,7 @@
 }
 
 static int64_t
-waiting_bytes(void)
+queued_bytes(void)
 {
     return counter_value(counter_get("irisstall_peer_waiting_bytes", NULL, ""));
 }
@@ -267,26 +268,26 @@
 }
 
 static void
-on_time(uv_timer_t *timer)
+on_run_timer(uv_timer_t *timer)
 {
     *(bool *)timer->data = true;
 }
 
-/* Runs the loop for that long. */
+/* Runs the loop for `ms`. */
 static void
 run_for(site_t *site, uint64_t ms)
 {
     static uv_timer_t timer;
-    bool over = false;
+    bool expired = false;
     uv_timer_init(&site->loop, &timer);
-    timer.data = &over;
-    uv_timer_start(&timer, on_time, ms, 0);
-    while (!over)
+    timer.data = &expired;
+    uv_timer_start(&timer, on_run_timer, ms, 0);
+    while (!expired)
         uv_run(&site->loop, UV_RUN_ONCE);
 }
 
-/* Changes in quick succession, each a version of the one configuration object. */
-START_TEST(changes_do_not_queue_for_a_peer_that_reads_slowly)
+/* Changes in quick succession, each a version of the same configuration object. */
+START_TEST(changes_do_not_queue_for_a_slow_peer)
 {
     enum { ROUTES = 500, ROUNDS = 6, BURST = 10, ROUND_MS = 210, WAITING = 40000 };
     site_t *site = new_ready_site(1);
@@ -303,17 +304,17 @@
         for (int i = 0; i < BURST; i++)
             put_config(site, NULL);
         run_for(site, ROUND_MS);
-        if (waiting_bytes() > most)
-            most = waiting_bytes();
+        if (queued_bytes() > most)
+            most = queued_bytes();
     }
-    /* One change, begun when little enough waited, and what that was (peer/link.c). */
+    /* At most one change beyond the threshold of peer/link.c may be queued. */
     ck_assert_msg(most <= one_change + WAITING, "%lld bytes wait, a change has %lld",
                   (long long)most, (long long)one_change);
 }
 END_TEST
 
-/* The peer knows revision 1000; what reaches the instance are changes of long ago. */
-START_TEST(late_changes_do_not_keep_an_instance_from_asking)
+/* The peer holds revision 1000, while the instance receives only much older changes. */
+START_TEST(outdated_changes_do_not_suppress_view_requests)
 {
     enum { NEWEST = 1000, FIRST = 100 };
     site_t *site = new_site(1);
@@ -321,14 +322,14 @@
     gateway_t *gateway = start_gateway(site, "g-1", &site->store_port, NULL);
     peer_t *peer = new_peer(site, gateway);
     send_change(peer, 0, FIRST);
-    peer->late = FIRST;
+    peer->next_change_from = FIRST;
     peer->at = NEWEST;
     RUN_UNTIL(site, peer->requests > 0);
 }
 END_TEST
 
-/* A route that is not known here may stand in the configuration that the peer holds. */
-START_TEST(no_route_is_denied_while_a_peer_has_a_newer_configuration)
+/* The newer configuration of the peer may contain the route. */
+START_TEST(unknown_route_gets_503_while_configuration_is_stale)
 {
     enum { NEWER = 1000 };
     site_t *site = new_ready_site(1);
@@ -344,8 +345,8 @@
 }
 END_TEST
 
-/* Nobody has the newer configuration any more. */
-START_TEST(a_lost_peer_leaves_nobody_behind)
+/* No live instance holds the newer configuration any more. */
+START_TEST(lost_peer_ends_the_stale_configuration_state)
 {
     enum { NEWER = 1000 };
     site_t *site = new_ready_site(1);
@@ -361,8 +362,8 @@
 }
 END_TEST
 
-/* Versions that follow each other go out together, at a pace. */
-START_TEST(changes_keep_to_a_pace)
+/* Successive versions are combined and rate-limited. */
+START_TEST(large_changes_are_rate_limited)
 {
     /* A change of about 260 kB is followed by a pause of 1 s. */
     enum { ROUTES = 1500, ROUNDS = 14, ROUND_MS = 210, PUSHES_MAX = 5 };
@@ -376,13 +377,13 @@
     }
     ck_assert_uint_ge(peer->pushes, 2);
     ck_assert_uint_le(peer->pushes, PUSHES_MAX);
-    /* What came last goes out after the pause, though nothing changes any more. */
+    /* The last version is sent after the pause without any further change. */
     RUN_UNTIL(site, peer->version == site->version);
 }
 END_TEST
 
-/* Many that ask at once do not fill the link of one. */
-START_TEST(answers_keep_to_a_rate)
+/* Many requests at once must not saturate the link. */
+START_TEST(view_answers_are_rate_limited)
 {
     enum { ROUTES = 500, REQUESTS = 10, CONFIG_BYTES = 90000, BURST = 256000, RUN_MS = 300 };
     site_t *site = new_ready_site(1);
@@ -401,8 +402,8 @@
 }
 END_TEST
 
-/* Routes pack about ten times; an older instance gets them as they are. */
-START_TEST(large_bodies_go_packed_to_who_takes_them)
+/* Only peers that support compression get compressed bodies. */
+START_TEST(large_bodies_are_compressed_if_the_peer_supports_it)
 {
     enum { ROUTES = 500, ROUTES_BYTES = 80000 };
     site_t *site = new_ready_site(1);
@@ -412,21 +413,21 @@
     int64_t before = changed_bytes();
     put_config(site, NULL);
     RUN_UNTIL(site, peer->version == site->version);
-    ck_assert_uint_eq(peer->packed, 0);
+    ck_assert_uint_eq(peer->packed_bodies, 0);
     ck_assert_int_gt(changed_bytes() - before, ROUTES_BYTES);
     peer->unpacks = true;
     run_for(site, 5 * HEARTBEAT_MS);
     before = changed_bytes();
     put_config(site, NULL);
     RUN_UNTIL(site, peer->version == site->version);
-    ck_assert_uint_eq(peer->packed, 1);
+    ck_assert_uint_eq(peer->packed_bodies, 1);
     ck_assert_int_lt(changed_bytes() - before, ROUTES_BYTES / 4);
 }
 END_TEST
 
-START_TEST(answers_are_packed_for_who_takes_them)
+START_TEST(view_answers_are_compressed_if_the_peer_supports_it)
 {
-    /* More than a peer is sent that can read the store, unless it is packed. */
+    /* Uncompressed, too large for a peer that can read the store. */
     enum { ROUTES = 1500, REQUESTS = 40 };
     site_t *site = new_site(1);
     site->extra_routes = ROUTES;
@@ -437,22 +438,22 @@
     RUN_UNTIL(site, gateway_living(site->gateway) == 2);
     const int64_t before = requested_bytes();
     send_request(peer);
-    RUN_UNTIL(site, peer->sent_away == 1);
+    RUN_UNTIL(site, peer->store_referrals == 1);
     ck_assert_int_eq(requested_bytes(), before);
     peer->unpacks = true;
     send_request(peer);
     RUN_UNTIL(site, peer->version == site->version);
-    ck_assert_uint_eq(peer->packed, 1);
-    /* Those beyond the rate are not sent to the store: they ask somebody else. */
+    ck_assert_uint_eq(peer->packed_bodies, 1);
+    /* Requests beyond the rate are dropped, not referred to the store. */
     for (int i = 0; i < REQUESTS; i++)
         send_request(peer);
     run_for(site, 3 * HEARTBEAT_MS);
-    ck_assert_uint_eq(peer->sent_away, 1);
-    ck_assert_uint_lt(peer->packed, REQUESTS);
+    ck_assert_uint_eq(peer->store_referrals, 1);
+    ck_assert_uint_lt(peer->packed_bodies, REQUESTS);
 }
 END_TEST
 
-START_TEST(a_body_that_cannot_be_unpacked_changes_nothing)
+START_TEST(invalid_compressed_body_is_rejected)
 {
     static const struct {
         const char *body;
@@ -475,7 +476,7 @@
 END_TEST
 
 static Iris__ViewUpdate *
-through_the_wire(view_message_t *message)
+encode_and_decode(view_message_t *message)
 {
     const size_t len = iris__envelope__get_packed_size(&message->envelope);
     uint8_t *bytes = xmalloc(len);
@@ -484,11 +485,12 @@
     free(bytes);
     ck_assert_ptr_nonnull(copy);
     ck_assert_int_eq(copy->body_case, IRIS__ENVELOPE__BODY_LIST_UPDATE);
-    return copy->list_update; /* the test's process ends with it */
+    return copy->list_update; /* not freed, as the test process exits */
 }
 
-/* Entries of backend servers are too small to pack alone; together they pack five times. */
-START_TEST(a_list_is_packed_together)
+/* Entries of backend servers are too small to compress individually; a list compresses at least
+ * fourfold. */
+START_TEST(view_list_is_compressed_as_a_whole)
 {
     enum { ENTRIES = 500, PACKED_PART = 4 };
     static char names[ENTRIES][16];
@@ -507,23 +509,23 @@
     view_message_fill(&message, items, ENTRIES);
     const size_t plain = message.bytes;
     message.update.at = 1500;
-    view_message_pack(&message, VIEW_READS_BODIES);
+    view_message_pack(&message, VIEW_FORMAT_PACKED_BODIES);
     ck_assert_uint_eq(message.bytes, plain);
-    view_message_pack(&message, VIEW_READS_LISTS);
+    view_message_pack(&message, VIEW_FORMAT_PACKED_LIST);
     ck_assert_uint_lt(message.bytes, plain / PACKED_PART);
-    Iris__ViewUpdate *update = through_the_wire(&message);
+    Iris__ViewUpdate *update = encode_and_decode(&message);
     ck_assert(view_message_unpack(update));
     ck_assert_uint_eq(update->n_items, ENTRIES);
     ck_assert_str_eq(update->items[7]->name, names[7]);
     ck_assert_uint_eq(update->items[7]->body.len, strlen(bodies[7]));
     ck_assert_uint_eq(view_update_bytes(update), plain);
     ck_assert_uint_eq(view_update_wire_bytes(update), message.bytes);
-    /* It is sent on as it came. */
+    /* The list is forwarded as received. */
     view_message_t again;
     ck_assert(view_message_fill_list(&again, update));
     ck_assert_uint_eq(again.bytes, message.bytes);
     ck_assert_uint_eq(again.update.at, 1500);
-    Iris__ViewUpdate *further = through_the_wire(&again);
+    Iris__ViewUpdate *further = encode_and_decode(&again);
     ck_assert(view_message_unpack(further));
     ck_assert_uint_eq(further->n_items, ENTRIES);
     view_message_free(&again);
@@ -531,7 +533,7 @@
 }
 END_TEST
 
-START_TEST(a_list_that_cannot_be_unpacked_changes_nothing)
+START_TEST(invalid_compressed_list_is_rejected)
 {
     static const struct {
         const char *list;
@@ -548,9 +550,8 @@
 }
 END_TEST
 
-/* The instance has got these changes before, from another watcher; those behind it in this tree may
- * not have. */
-START_TEST(a_change_goes_on_though_it_is_no_news)
+/* The instance already has these changes, but its children in this tree may not. */
+START_TEST(known_change_is_still_forwarded_once)
 {
     enum { CHANGES = 24, FIRST = 1, BODY_BYTES = 8000 };
     const str_t text = STR("{\"spec\":{\"version\":\"1\"}}");
@@ -579,16 +580,16 @@
             peer_send(peer->hub, &peer->to[0], &envelope);
     }
     run_for(site, 5 * HEARTBEAT_MS);
-    /* In the order of a revision the peer is behind the instance half of the times; each goes on
-     * once. */
+    /* The peer ranks after the instance for about half of the revisions. Each change is forwarded
+     * at most once. */
     ck_assert_uint_gt(peer->pushes, before);
     ck_assert_uint_le(peer->pushes, before + CHANGES);
     free(body);
 }
 END_TEST
 
-/* What binds goes ahead of a change of hundreds of entries, and only to who takes it. */
-START_TEST(departures_go_ahead_of_a_large_change)
+/* Departures precede a change of many entries, for peers that support them. */
+START_TEST(departures_are_sent_before_a_large_change)
 {
     enum { ENTRIES = 60 };
     for (int reads_lists = 0; reads_lists <= 1; reads_lists++) {
@@ -597,7 +598,7 @@
         peer->unpacks = peer->reads_lists = reads_lists != 0;
         RUN_UNTIL(site, gateway_living(site->gateway) == 2);
         run_for(site, 5 * HEARTBEAT_MS);
-        standin_store_set_delay(site->store, 300); /* so that one watch brings all */
+        standin_store_set_delay(site->store, 300); /* so that one watch answer holds all changes */
         for (int i = 0; i < ENTRIES; i++) {
             char id[16];
             snprintf(id, sizeof(id), "other-%d", i);
@@ -610,30 +611,30 @@
         put_backend(site, &site->backends[0], "draining");
         standin_store_remove(site->store, "servers", "i-1");
         run_for(site, 15 * HEARTBEAT_MS);
-        ck_assert_uint_eq(peer->departed, reads_lists ? 2 : 0);
+        ck_assert_uint_eq(peer->departures_received, reads_lists ? 2 : 0);
     }
 }
 END_TEST
 
-/* A started instance need not ask the store who there is, nor announce itself again. */
-START_TEST(an_instance_heard_anew_is_answered_at_once)
+/* A restarted instance learns the addresses and its announcement from peers, without the store. */
+START_TEST(restarted_peer_gets_a_prompt_reply)
 {
     site_t *site = new_ready_site(1);
     peer_t *peer = new_peer(site, site->gateway);
     peer->announced = true;
-    RUN_UNTIL(site, peer->addresses > 0);
+    RUN_UNTIL(site, peer->addresses_received > 0);
     ck_assert(!peer->heard_announced);
-    peer->life = 1;
+    peer->restarts = 1;
     RUN_UNTIL(site, peer->heard_announced);
 }
 END_TEST
 
-START_TEST(an_instance_that_was_announced_is_not_again)
+START_TEST(announced_instance_is_not_announced_again)
 {
     site_t *site = new_site(1);
     gateway_t *gateway = start_gateway(site, "g-1", &site->store_port, NULL);
     peer_t *peer = new_peer(site, gateway);
-    peer->announced = true; /* so that its messages say that the other was, too */
+    peer->announced = true; /* makes its heartbeats report the gateway as announced */
     use_gateway(site, gateway);
     RUN_UNTIL(site, is_ready(site));
     run_for(site, 1000);
@@ -642,7 +643,7 @@
 END_TEST
 
 /* A peer that missed some changes can still apply the next one. */
-START_TEST(a_change_reaches_back_to_earlier_ones)
+START_TEST(change_starts_from_the_earliest_base)
 {
     enum { CHANGES = 4 };
     site_t *site = new_ready_site(1);
@@ -653,18 +654,19 @@
         put_config(site, NULL);
         RUN_UNTIL(site, peer->pushes == i);
         if (i == 1)
-            first_from = peer->from;
+            first_from = peer->from_received;
     }
-    ck_assert_uint_eq(peer->from, first_from);
-    ck_assert_uint_gt(peer->up_to, first_from);
+    ck_assert_uint_eq(peer->from_received, first_from);
+    ck_assert_uint_gt(peer->at_received, first_from);
 }
 END_TEST
 
-/* A large configuration travels along a tree of instances. The scripted peer, one of them, sends
- * nothing on: those behind it ask for what they lack, all others get it unasked. */
-START_TEST(a_large_change_reaches_all_past_a_silent_instance)
+/* The change is distributed along a tree. The scripted peer does not forward it: only the instances
+ * behind it may have to request it. */
+START_TEST(large_change_reaches_all_despite_a_non_forwarding_peer)
 {
-    /* The peer has at most four of fourteen behind it; a busy machine may let more ask. */
+    /* At most four of fourteen instances are behind the peer. The best round counts, as requests
+     * may be more on a loaded machine. */
     enum { INSTANCES = 12, ROUTES = 500, CONFIG_BYTES = 90000, BEHIND_MAX = 4, ROUNDS = 3 };
     gateway_t *others[INSTANCES];
     site_t *site = new_ready_site(1);
@@ -711,23 +713,23 @@
     Suite *suite = suite_create("gateway: view relay");
     TCase *tests = tcase_create("relay");
     tcase_set_timeout(tests, 60);
-    tcase_add_test(tests, changes_do_not_queue_for_a_peer_that_reads_slowly);
-    tcase_add_test(tests, late_changes_do_not_keep_an_instance_from_asking);
-    tcase_add_test(tests, no_route_is_denied_while_a_peer_has_a_newer_configuration);
-    tcase_add_test(tests, a_lost_peer_leaves_nobody_behind);
-    tcase_add_test(tests, changes_keep_to_a_pace);
-    tcase_add_test(tests, answers_keep_to_a_rate);
-    tcase_add_test(tests, large_bodies_go_packed_to_who_takes_them);
-    tcase_add_test(tests, answers_are_packed_for_who_takes_them);
-    tcase_add_test(tests, a_body_that_cannot_be_unpacked_changes_nothing);
-    tcase_add_test(tests, a_list_is_packed_together);
-    tcase_add_test(tests, a_list_that_cannot_be_unpacked_changes_nothing);
-    tcase_add_test(tests, a_change_goes_on_though_it_is_no_news);
-    tcase_add_test(tests, departures_go_ahead_of_a_large_change);
-    tcase_add_test(tests, an_instance_heard_anew_is_answered_at_once);
-    tcase_add_test(tests, an_instance_that_was_announced_is_not_again);
-    tcase_add_test(tests, a_change_reaches_back_to_earlier_ones);
-    tcase_add_test(tests, a_large_change_reaches_all_past_a_silent_instance);
+    tcase_add_test(tests, changes_do_not_queue_for_a_slow_peer);
+    tcase_add_test(tests, outdated_changes_do_not_suppress_view_requests);
+    tcase_add_test(tests, unknown_route_gets_503_while_configuration_is_stale);
+    tcase_add_test(tests, lost_peer_ends_the_stale_configuration_state);
+    tcase_add_test(tests, large_changes_are_rate_limited);
+    tcase_add_test(tests, view_answers_are_rate_limited);
+    tcase_add_test(tests, large_bodies_are_compressed_if_the_peer_supports_it);
+    tcase_add_test(tests, view_answers_are_compressed_if_the_peer_supports_it);
+    tcase_add_test(tests, invalid_compressed_body_is_rejected);
+    tcase_add_test(tests, view_list_is_compressed_as_a_whole);
+    tcase_add_test(tests, invalid_compressed_list_is_rejected);
+    tcase_add_test(tests, known_change_is_still_forwarded_once);
+    tcase_add_test(tests, departures_are_sent_before_a_large_change);
+    tcase_add_test(tests, restarted_peer_gets_a_prompt_reply);
+    tcase_add_test(tests, announced_instance_is_not_announced_again);
+    tcase_add_test(tests, change_starts_from_the_earliest_base);
+    tcase_add_test(tests, large_change_reaches_all_despite_a_non_forwarding_peer);
     suite_add_tcase(suite, tests);
     return suite;
 }
