--- a/gateway/membership/members.h
+++ b/gateway/membership/members.h
@@ -69,14 +69,14 @@
     uint64_t heard_ms;    /* time of its last heartbeat; the fields below date from it */
     bool ready;
     bool leaving;
-    uint32_t store_age_ms;    /* since its last answer from the store, or STORE_AGE_NONE */
-    bool store_failing;       /* its requests to the store fail */
+    uint32_t store_age_ms;     /* since its last answer from the store, or STORE_AGE_NONE */
+    bool store_failing;        /* its requests to the store fail */
     view_format_t view_format; /* format of view changes that it accepts */
-    bool announced;           /* its entry is in the store */
-    bool supports_suspects;   /* accepts messages about suspects */
-    bool supports_accounts;   /* accepts messages about client accounts */
-    bool supports_permits;    /* accepts notices and grants permits */
-    bool refuses_connections; /* refused a connection since its last heartbeat */
+    bool announced;            /* its entry is in the store */
+    bool supports_suspects;    /* accepts messages about suspects */
+    bool supports_accounts;    /* accepts messages about client accounts */
+    bool supports_permits;     /* accepts notices and grants permits */
+    bool refuses_connections;  /* refused a connection since its last heartbeat */
     uint64_t accounts_avoided_until_ms; /* did not answer an account report */
     member_view_t views[VIEW_WATCHED];
     member_demand_t demands[MEMBER_DEMANDS_MAX];
--- a/gateway/state/store_calls.c
+++ b/gateway/state/store_calls.c
@@ -32,7 +32,7 @@
     snprintf(labels, sizeof(labels), "kind=\"%s\",call=\"%s\",reason=\"%s\"", kind_names[kind],
              call_names[call], reason_names[reason]);
     counter_add(counter_get("irisstall_store_calls_by_reason_total", labels,
-                            "Calls to the platform's store, by kind of object, call and reason."),
+                            "Calls to the platform's store, by what they were made for."),
                 1);
     LOG_INFO("store called: kind=%s call=%s reason=%s", kind_names[kind], call_names[call],
              reason_names[reason]);
--- a/gateway/state/store_watch.c
+++ b/gateway/state/store_watch.c
@@ -208,8 +208,10 @@
     const uint64_t pause_ms = (uint64_t)RETRY_MIN_MS * watch->failures;
     if (needs_single_list(kind))
         return pause_ms < RETRY_MAX_MS ? pause_ms : RETRY_MAX_MS;
-    const size_t instances = members_count_alive_in_region(watch->conf.members, watch->conf.region, now_ms);
-    const uint64_t probe_pause_ms = store_schedule_probe_interval_ms(rank_of(watch, false, now_ms), instances);
+    const size_t instances =
+        members_count_alive_in_region(watch->conf.members, watch->conf.region, now_ms);
+    const uint64_t probe_pause_ms =
+        store_schedule_probe_interval_ms(rank_of(watch, false, now_ms), instances);
     return store_watch_is_failing(watch) || pause_ms > probe_pause_ms ? probe_pause_ms : pause_ms;
 }
 
--- a/gateway/state/suspect_log.c
+++ b/gateway/state/suspect_log.c
@@ -18,7 +18,7 @@
              suspect->fingerprint, suspect->is_family, ends, quarantine_term_ms(ends),
              now_ms - suspect_last_ms(suspect), suspect->text);
     counter_add(counter_get("irisstall_quarantine_verdicts_total", NULL,
-                            "Quarantines imposed or extended after backend servers terminated."),
+                            "Requests held, and held for longer, after ends of backend servers."),
                 1);
 }
 
@@ -51,14 +51,14 @@
              " refused=%" PRIu64,
              suspect->fingerprint, why, ends, since_end_ms, suspect->refused);
     counter_add(counter_get("irisstall_quarantine_cleared_total", labels,
-                            "Quarantined requests that were cleared."),
+                            "Held requests that nothing is held against any more."),
                 1);
 }
 
 void
 suspect_count_trial(void)
 {
-    counter_add(
-        counter_get("irisstall_quarantine_trials_total", NULL, "Trials of quarantined requests."),
-        1);
+    counter_add(counter_get("irisstall_quarantine_trials_total", NULL,
+                            "Held requests of which a try was let through."),
+                1);
 }
--- a/gateway/state/view_push.c
+++ b/gateway/state/view_push.c
@@ -28,7 +28,7 @@
 report_sent(const view_message_t *message, size_t receivers, size_t skipped, bool from_store)
 {
     counter_add(counter_get("irisstall_view_bytes_total", "reason=\"change\"",
-                            "Bytes of view objects sent to peers, by reason."),
+                            "Bytes of objects sent to peers, by what made them go."),
                 message->bytes * receivers);
     if (receivers + skipped > 0)
         LOG_INFO("view change sent: kind=%u from=%llu at=%llu bytes=%zu receivers=%zu skipped=%zu "
@@ -81,7 +81,8 @@
         .members = push->conf.members,
         .instance = name_str(&push->instance),
         .region = push->conf.region,
-        .all_regions = push->conf.members->count <= MEMBERS_FULL_MESH_MAX && bytes <= CROSS_REGION_MAX_BYTES,
+        .all_regions =
+            push->conf.members->count <= MEMBERS_FULL_MESH_MAX && bytes <= CROSS_REGION_MAX_BYTES,
         .now_ms = loop_now(push->conf.loop),
     };
 }
--- a/gateway/state/view_relay.c
+++ b/gateway/state/view_relay.c
@@ -92,7 +92,7 @@
              (unsigned long long)update->at, update->whole, update->n_items, message->bytes);
     if (sent)
         counter_add(counter_get("irisstall_view_bytes_total", "reason=\"request\"",
-                                "Bytes of view objects sent to peers, by reason."),
+                                "Bytes of objects sent to peers, by what made them go."),
                     message->bytes);
 }
 
