--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -128,7 +128,8 @@
               "Routes and services of the configuration in force that could not be read.",
               router->catalog.config != NULL ? (int64_t)config_left_out(router->catalog.config)
                                              : 0);
-    set_gauge("irisstall_instances_living", "Instances heard of, this one too.", router->living);
+    set_gauge("irisstall_instances_living", "Instances heard of, this one too.",
+              router->live_instances);
     set_gauge("irisstall_upstreams", "Upstreams known.", (int64_t)router->catalog.backends.count);
     set_gauge("irisstall_entries_unusable",
               "Entries of the store that name no backend server to use.",
--- a/gateway/endpoints.c
+++ b/gateway/endpoints.c
@@ -14,7 +14,7 @@
 void
 endpoint_answer_readiness(const directory_port_t *port, bool ready, wire_request_t *req)
 {
-    if (!port->is_ready_question(&req->head))
+    if (!port->is_readiness_query(&req->head))
         answer_status(req, HTTP_STATUS_NOT_FOUND);
     else
         answer_status(req, ready ? HTTP_STATUS_OK : HTTP_STATUS_SERVICE_UNAVAILABLE);
@@ -24,9 +24,9 @@
 endpoint_answer_directory(const directory_endpoint_t *endpoint, uint64_t now_ms,
                           wire_request_t *req)
 {
-    directory_question_t question;
+    directory_query_t question;
     addr_t addrs[DIRECTORY_MAX];
-    if (!endpoint->port->read_question(&req->head, &question)) {
+    if (!endpoint->port->read_query(&req->head, &question)) {
         answer_status(req, HTTP_STATUS_NOT_FOUND);
         return;
     }
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -29,7 +29,7 @@
 }
 
 static void
-on_directory_question(void *ctx, wire_request_t *req)
+on_directory_request(void *ctx, wire_request_t *req)
 {
     const gateway_t *gateway = ctx;
     if (resume_is_behind(&gateway->resume)) {
@@ -46,7 +46,7 @@
 }
 
 static void
-on_admin_question(void *ctx, wire_request_t *req)
+on_admin_request(void *ctx, wire_request_t *req)
 {
     gateway_t *gateway = ctx;
     const admin_t admin = {
@@ -64,7 +64,7 @@
 }
 
 static void
-serve_waiting(void *ctx, wire_request_t *req)
+serve_delayed(void *ctx, wire_request_t *req)
 {
     gateway_t *gateway = ctx;
     exchange_start(&gateway->exchanges, req);
@@ -104,8 +104,8 @@
     const listener_handlers_t handlers = {
         .callers = on_caller_request,
         .readiness = on_readiness_check,
-        .directory = on_directory_question,
-        .admin = on_admin_question,
+        .directory = on_directory_request,
+        .admin = on_admin_request,
         .ctx = gateway,
     };
     addr_t *peer = &gateway->settings.peer;
@@ -252,7 +252,7 @@
         free(gateway);
         return NULL;
     }
-    deferred_init(&gateway->config_work, loop, gateway_apply_config, gateway);
+    deferred_init(&gateway->config_update, loop, gateway_apply_config, gateway);
     init_views(gateway);
     init_notices(gateway);
     init_membership(gateway);
@@ -261,7 +261,7 @@
     const resume_conf_t resume_conf = {
         .loop = loop,
         .on_resumed = gateway_on_resumed,
-        .serve = serve_waiting,
+        .serve = serve_delayed,
         .ctx = gateway,
     };
     resume_init(&gateway->resume, &resume_conf);
@@ -300,9 +300,9 @@
 }
 
 unsigned
-gateway_living(const gateway_t *gateway)
+gateway_live_instances(const gateway_t *gateway)
 {
-    return gateway->router.living;
+    return gateway->router.live_instances;
 }
 
 size_t
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -39,6 +39,6 @@
 /* For tests: the backend as it is known here; NULL if it is not. */
 const backend_t *gateway_backend(const gateway_t *gateway, str_t id);
 /* For tests: instances heard of lately, this one too. */
-unsigned gateway_living(const gateway_t *gateway);
+unsigned gateway_live_instances(const gateway_t *gateway);
 /* For tests: requests under way. */
 size_t gateway_active(const gateway_t *gateway);
--- a/gateway/gateway_news.c
+++ b/gateway/gateway_events.c
@@ -10,7 +10,7 @@
 gateway_compare_config(gateway_t *gateway)
 {
     const view_t *view = &gateway->views.items[VIEW_CONFIG];
-    const uint64_t here = gateway->config_work.asked_for ? view->at : 0;
+    const uint64_t here = gateway->config_update.asked_for ? view->at : 0;
     const uint64_t theirs = members_newer_view(&gateway->members, VIEW_CONFIG, view->at,
                                                view->digest, loop_now(gateway->loop));
     gateway->router.catalog.newer_at = theirs > here ? theirs : here;
@@ -29,7 +29,7 @@
 }
 
 static bool
-knows_all_views(const views_t *views)
+has_all_views(const views_t *views)
 {
     for (view_kind_t kind = 0; kind < VIEW_WATCHED; kind++) {
         if (!views->items[kind].known)
@@ -41,11 +41,11 @@
 /* Started instances ask those that have the views, and hear of them with a heartbeat: the next one
  * may be 0.4 s away. Not measured alone. */
 static void
-tell_first_views(gateway_t *gateway)
+announce_first_views(gateway_t *gateway)
 {
-    if (gateway->told_views || !knows_all_views(&gateway->views))
+    if (gateway->views_announced || !has_all_views(&gateway->views))
         return;
-    gateway->told_views = true;
+    gateway->views_announced = true;
     heartbeat_send(&gateway->heartbeat, loop_now(gateway->loop));
 }
 
@@ -59,7 +59,7 @@
     store_watch_view_changed(&gateway->store_watch);
     switch (kind) {
     case VIEW_CONFIG:
-        deferred_ask(&gateway->config_work);
+        deferred_ask(&gateway->config_update);
         break; /* in force in gateway_apply_config() */
     case VIEW_BACKENDS:
         catalog_apply_backends(catalog, view, store_watch_trouble(&gateway->store_watch));
@@ -74,7 +74,7 @@
     if (kind != VIEW_CONFIG)
         view_age_in_force(&gateway->views.ages[kind], loop_now(gateway->loop));
     gateway_compare_config(gateway);
-    tell_first_views(gateway);
+    announce_first_views(gateway);
 }
 
 void
--- a/gateway/gateway_state.h
+++ b/gateway/gateway_state.h
@@ -1,8 +1,8 @@
 /*
  * What an instance holds, and how its files call each other. Inside of the gateway.
  *
- * gateway.c puts it together and answers questions from outside; gateway_news.c takes in what the
- * store and the peers tell; gateway_work.c does the regular work, the planned stop, and what
+ * gateway.c puts it together and answers questions from outside; gateway_events.c takes in what the
+ * store and the peers tell; gateway_tick.c does the regular work, the planned stop, and what
  * follows when the instance has stood still.
  */
 #pragma once
@@ -39,14 +39,14 @@
     peer_hub_t *hub;
     listeners_t listeners;
     resume_t resume;
-    deferred_t config_work; /* a new configuration is decoded */
+    deferred_t config_update; /* a new configuration is decoded */
     uv_timer_t tick;
-    bool told_views; /* peers were told that it has all views */
+    bool views_announced; /* peers were told that it has all views */
     bool stopping;
     uint64_t stop_ms;
 };
 
-/* ---- gateway_news.c ---- */
+/* ---- gateway_events.c ---- */
 
 /* Tells the catalog whether a newer configuration is known of: a living peer holds it, or it is
  * here and not decoded yet. */
@@ -58,7 +58,7 @@
 void gateway_on_peer_refused(void *ctx, const addr_t *to);
 void gateway_on_peer_message(void *ctx, peer_conn_t *conn, const Iris__Envelope *message);
 
-/* ---- gateway_work.c ---- */
+/* ---- gateway_tick.c ---- */
 
 /* The time between two rounds of regular work, in milliseconds: half of the shortest heartbeat
  * interval. */
--- a/gateway/gateway_work.c
+++ b/gateway/gateway_tick.c
@@ -71,7 +71,7 @@
  * 558 of 3,496 were in time, with this 361 and 647, and a fifth and a quarter of the day's calls to
  * the store are saved (two days of 67 instances, processor time not counted). */
 static void
-call_again(gateway_t *gateway)
+reconnect_unheard_peers(gateway_t *gateway)
 {
     peer_hub_sweep_unconnected(gateway->hub, CONNECT_MS);
     heartbeat_call_unheard(&gateway->heartbeat);
@@ -94,10 +94,10 @@
     notice_news_tell(&gateway->notice_news);
     permit_exchange_tick(&gateway->permit_exchange);
     if (!gateway->stopping)
-        discovery_tick(&gateway->discovery, gateway->router.living <= 1);
+        discovery_tick(&gateway->discovery, gateway->router.live_instances <= 1);
     close_idle_connections(gateway);
     if (!router_is_ready(&gateway->router) && !gateway->stopping)
-        call_again(gateway);
+        reconnect_unheard_peers(gateway);
     heartbeat_tick(&gateway->heartbeat, now_ms);
     log_flush();
     if (gateway->stopping)
--- a/gateway/path/access_log.c
+++ b/gateway/path/access_log.c
@@ -19,10 +19,10 @@
 }
 
 static void
-count_late(const access_t *access)
+count_late(const access_record_t *access)
 {
     char labels[LABELS_MAX + NAME_MAX_LEN];
-    if (access->late == LATE_NOT)
+    if (access->late == LATE_NONE)
         return;
     snprintf(labels, sizeof(labels), "service=\"%s\",cause=\"%s\"", access->service,
              late_cause_name(access->late));
@@ -33,18 +33,18 @@
 
 /* True if the request is one of those that are not logged. */
 static bool
-is_left_out(const access_t *access)
+is_sampled_out(const access_record_t *access)
 {
-    static unsigned untroubled;
+    static unsigned successful;
     static unsigned late;
     static unsigned held;
     if (access->outcome == OUTCOME_HELD)
         return held++ % LOG_HELD_EVERY != 0;
     if (access->outcome != OUTCOME_ANSWERED || access->attempts != 1)
         return false;
-    if (access->late != LATE_NOT)
+    if (access->late != LATE_NONE)
         return ++late % LOG_LATE_EVERY != 0;
-    return ++untroubled % LOG_EVERY != 0;
+    return ++successful % LOG_EVERY != 0;
 }
 
 static const char *
@@ -54,11 +54,11 @@
 }
 
 void
-access_log(const access_t *access)
+access_log(const access_record_t *access)
 {
     count_outcome(access->outcome);
     count_late(access);
-    if (is_left_out(access))
+    if (is_sampled_out(access))
         return;
     LOG_INFO("request ended: id=%.*s request=%016" PRIx64 " outcome=%s status=%d service=%s "
              "account=%s key=%s "
--- a/gateway/path/access_log.h
+++ b/gateway/path/access_log.h
@@ -29,9 +29,9 @@
     choice_reason_t choice; /* of the last choice */
     passed_t passed;        /* why another backend was passed over in the last choice */
     retry_verdict_t retry;  /* of the last decision to retry */
-    late_cause_t late;      /* why it was answered late, LATE_NOT if it was not */
+    late_cause_t late;      /* why it was answered late, LATE_NONE if it was not */
     uint64_t elapsed_ms;    /* since the request's first byte */
     uint64_t left_ms;       /* until it would have been given up */
-} access_t;
+} access_record_t;
 
-void access_log(const access_t *access);
+void access_log(const access_record_t *access);
--- a/gateway/path/attempt.c
+++ b/gateway/path/attempt.c
@@ -52,18 +52,18 @@
     attempt->status = head->status;
     attempt->length = length;
     if (attempt->dialect->load(head, &load)) {
-        attempt->full = load.waiting > 0;
+        attempt->slots_full = load.waiting > 0;
         backend_report_load(attempt->backend, &load, loop_now(attempt->loop));
     }
     /* One at another backend's address speaks of itself, bytes of no answer of nobody. */
-    if (attempt->verdict == VERDICT_ANSWER || attempt->verdict == VERDICT_NOT_RUN) {
+    if (attempt->verdict == VERDICT_RESPONSE || attempt->verdict == VERDICT_NOT_RUN) {
         backend_said_t said;
         attempt->dialect->notice(head, &said);
-        attempt->on_said(attempt->ctx, &said, attempt->verdict == VERDICT_ANSWER);
+        attempt->on_notice(attempt->ctx, &said, attempt->verdict == VERDICT_RESPONSE);
     }
     attempt->fields.len = 0;
-    attempt->dialect->write_answer(head, &attempt->fields);
-    if (attempt->verdict == VERDICT_ANSWER && length > BUFFER_MAX)
+    attempt->dialect->write_response(head, &attempt->fields);
+    if (attempt->verdict == VERDICT_RESPONSE && length > BUFFER_MAX)
         start_streaming(attempt);
 }
 
@@ -72,7 +72,7 @@
 {
     attempt_t *attempt = ctx;
     attempt->received += len;
-    if (attempt->verdict != VERDICT_ANSWER)
+    if (attempt->verdict != VERDICT_RESPONSE)
         return;
     if (!attempt->streaming && attempt->body.len + len <= BUFFER_MAX) {
         wire_text_add(&attempt->body, ptr, len);
@@ -112,11 +112,11 @@
 
 /* The outcome of a complete answer. */
 static attempt_outcome_t
-judge_whole(attempt_t *attempt, backend_t *backend)
+classify_complete(attempt_t *attempt, backend_t *backend)
 {
     const uint64_t now = loop_now(attempt->loop);
     switch (attempt->verdict) {
-    case VERDICT_ANSWER:
+    case VERDICT_RESPONSE:
         backend_answered(backend, (double)(now - attempt->sent_ms), attempt->queued);
         attempt_record(attempt, attempt->status >= HTTP_STATUS_INTERNAL_SERVER_ERROR ||
                                     attempt_is_slow(attempt));
@@ -126,7 +126,7 @@
         return ATTEMPT_NOT_RUN;
     case VERDICT_NOT_RUN:
         return ATTEMPT_NOT_RUN;
-    case VERDICT_BAD:
+    case VERDICT_INVALID:
         attempt_record(attempt, true);
         breaker_record_failure(&backend->breaker, now);
         return ATTEMPT_UNKNOWN;
@@ -136,7 +136,7 @@
 
 /* The outcome of an attempt that broke. */
 static attempt_outcome_t
-judge_broken(attempt_t *attempt, backend_t *backend, const wire_end_t *end)
+classify_failure(attempt_t *attempt, backend_t *backend, const wire_end_t *end)
 {
     const uint64_t now = loop_now(attempt->loop);
     char caller[ADDR_TEXT_MAX];
@@ -147,10 +147,10 @@
     attempt_record(attempt, true);
     breaker_record_failure(&backend->breaker, now);
     if (attempt->streaming)
-        return ATTEMPT_CUT;
-    const bool said_so = attempt->head_seen && (attempt->verdict == VERDICT_NOT_RUN ||
-                                                attempt->verdict == VERDICT_MISDIRECTED);
-    return end->stage == WIRE_UNSENT || said_so ? ATTEMPT_NOT_RUN : ATTEMPT_UNKNOWN;
+        return ATTEMPT_TRUNCATED;
+    const bool declared_not_run = attempt->head_seen && (attempt->verdict == VERDICT_NOT_RUN ||
+                                                         attempt->verdict == VERDICT_MISDIRECTED);
+    return end->stage == WIRE_UNSENT || declared_not_run ? ATTEMPT_NOT_RUN : ATTEMPT_UNKNOWN;
 }
 
 static void
@@ -162,8 +162,8 @@
     attempt->sent = end->stage != WIRE_UNSENT;
     attempt->closed = attempt->sent && end->closed;
     const attempt_outcome_t outcome = end->err.code == ERR_NONE
-                                          ? judge_whole(attempt, backend)
-                                          : judge_broken(attempt, backend, end);
+                                          ? classify_complete(attempt, backend)
+                                          : classify_failure(attempt, backend, end);
     attempt->backend = NULL;
     attempt->cb(attempt->ctx, outcome);
 }
@@ -177,7 +177,7 @@
     wire_text_str(&text, STR(" "));
     wire_text_str(&text, wire_head_target(head));
     wire_text_str(&text, STR(" HTTP/1.1\r\n"));
-    const backend_terms_t terms = {
+    const forward_metadata_t terms = {
         .backend = name_str(&attempt->backend->info.id),
         .account = attempt->account,
         .left_ms = left_ms,
@@ -209,7 +209,7 @@
     attempt->closed = false;
     attempt->head_seen = false;
     attempt->paused = false;
-    attempt->full = false;
+    attempt->slots_full = false;
     attempt->recorded = false;
     attempt->slow_ms = conf->slow_ms;
     attempt->body.len = 0;
@@ -217,7 +217,7 @@
         .connect_timeout_ms = CONNECT_TIMEOUT_MS,
         .idle_max_ms = conf->repeatable ? IDLE_MAX_REPEATABLE_MS : IDLE_MAX_ONCE_MS,
         .head_method = attempt->req->head.method == HTTP_HEAD,
-        .looks_first = conf->again,
+        .looks_first = conf->is_retry,
     };
     call.request = build_request(attempt, conf->left_ms, &call.request_len);
     attempt->call = wire_call_start(conf->backend->pool, &call, &cbs, attempt);
@@ -239,7 +239,7 @@
 }
 
 void
-attempt_caller_drained(attempt_t *attempt)
+attempt_on_caller_drained(attempt_t *attempt)
 {
     if (!attempt->paused || attempt->call == NULL)
         return;
@@ -248,7 +248,7 @@
 }
 
 void
-attempt_pass_on(attempt_t *attempt)
+attempt_forward_response(attempt_t *attempt)
 {
     if (!attempt->streaming) {
         if (attempt->length != WIRE_UNTIL_CLOSE)
--- a/gateway/path/attempt.h
+++ b/gateway/path/attempt.h
@@ -16,10 +16,10 @@
 #include "wire/listener.h"
 
 typedef enum {
-    ATTEMPT_ANSWERED, /* the backend's answer is complete */
-    ATTEMPT_NOT_RUN,  /* the backend has certainly not run the request */
-    ATTEMPT_UNKNOWN,  /* it may have run, and nothing was passed on */
-    ATTEMPT_CUT,      /* the answer broke off while it was being passed on */
+    ATTEMPT_ANSWERED,  /* the backend's answer is complete */
+    ATTEMPT_NOT_RUN,   /* the backend has certainly not run the request */
+    ATTEMPT_UNKNOWN,   /* it may have run, and nothing was passed on */
+    ATTEMPT_TRUNCATED, /* the answer broke off while it was being passed on */
 } attempt_outcome_t;
 
 typedef struct attempt attempt_t;
@@ -27,7 +27,7 @@
 /* The attempt has ended and its outcome is recorded at the backend. */
 typedef void (*attempt_cb_t)(void *ctx, attempt_outcome_t outcome);
 /* The head of an answer of the backend has come. `ran`: it answers a request that it ran. */
-typedef void (*attempt_said_cb_t)(void *ctx, const backend_said_t *said, bool ran);
+typedef void (*attempt_notice_cb_t)(void *ctx, const backend_said_t *said, bool ran);
 
 struct attempt {
     uv_loop_t *loop;
@@ -36,7 +36,7 @@
     str_t id;
     str_t account;        /* name of the client account, empty for none */
     uint64_t fingerprint; /* of the request, for the log */
-    attempt_said_cb_t on_said;
+    attempt_notice_cb_t on_notice;
     attempt_cb_t cb;
     void *ctx;
     backend_t *backend; /* NULL while no attempt is under way */
@@ -48,10 +48,10 @@
     bool head_seen;
     bool streaming;
     bool paused;
-    bool full;        /* the answer told that all slots of the backend were taken */
+    bool slots_full;  /* the answer told that all slots of the backend were taken */
     bool recorded;    /* its outcome is in the backend's health already */
     uint32_t slow_ms; /* from slow_after_ms(); 0 for no limit */
-    answer_verdict_t verdict;
+    response_verdict_t verdict;
     int status;
     size_t received; /* bytes of answers, of all attempts */
     int64_t length;
@@ -64,8 +64,8 @@
     uint32_t left_ms; /* time that the backend has for its answer */
     bool repeatable;  /* else a fresher connection is used */
     bool queued;      /* all of the backend's slots are taken */
-    bool again;       /* another attempt of the request has failed: what took its backend may have
-                         taken this one, so its kept connections are looked at first */
+    bool is_retry;    /* another attempt of the request has failed: what took its backend may have
+                      taken this one, so its kept connections are looked at first */
     uint32_t slow_ms; /* from slow_after_ms(); 0 for no limit */
 } attempt_conf_t;
 
@@ -79,7 +79,7 @@
 /* Breaks it off without the callback and closes the connection. */
 void attempt_cancel(attempt_t *attempt);
 /* The caller has read what was buffered for it: the answer is read on. */
-void attempt_caller_drained(attempt_t *attempt);
+void attempt_on_caller_drained(attempt_t *attempt);
 /* Passes the complete answer on, or the rest of it; the request is gone afterwards. */
-void attempt_pass_on(attempt_t *attempt);
+void attempt_forward_response(attempt_t *attempt);
 void attempt_free(attempt_t *attempt);
--- a/gateway/path/ending.c
+++ b/gateway/path/completion.c
@@ -4,7 +4,7 @@
 
 #include "base/xmalloc.h"
 #include "gateway/path/access_log.h"
-#include "gateway/path/ending.h"
+#include "gateway/path/completion.h"
 
 /* Why the answer that is about to be passed on is late. */
 static late_cause_t
@@ -14,14 +14,14 @@
     const attempt_t *attempt = &ex->attempt;
     xassert(backend != NULL);
     const lateness_input_t input = {
-        .aim_ms = ex->route->aim_ms,
+        .objective_ms = ex->route->aim_ms,
         .elapsed_ms = now - ex->req->begun_ms,
         .attempt_ms = now - attempt->sent_ms,
-        .lost_ms = ex->lost_ms,
-        .usual_ms = backend->work_ms,
+        .prior_wait_ms = ex->prior_wait_ms,
+        .typical_ms = backend->work_ms,
         .slow_ms = attempt->slow_ms,
         .queued = attempt->queued,
-        .full = attempt->full,
+        .slots_full = attempt->slots_full,
         .cold = backend_is_cold(backend, now),
         .other_region = backend->region != ex->owner->router->region,
     };
@@ -32,8 +32,8 @@
 log_end(const exchange_t *ex, int status, outcome_t outcome)
 {
     const backend_t *backend = exchange_last_tried(ex);
-    const access_t access = {
-        .id = ex->terms.id,
+    const access_record_t access = {
+        .id = ex->metadata.id,
         .fingerprint = ex->fingerprint.request,
         .outcome = outcome,
         .status = status,
@@ -47,19 +47,19 @@
         .choice = ex->choice.reason,
         .passed = ex->choice.passed,
         .retry = ex->retry,
-        .late = outcome == OUTCOME_ANSWERED ? late_cause(ex, backend) : LATE_NOT,
+        .late = outcome == OUTCOME_ANSWERED ? late_cause(ex, backend) : LATE_NONE,
         .elapsed_ms = exchange_now_ms(ex) - ex->req->begun_ms,
-        .left_ms = exchange_left_ms(ex),
+        .left_ms = exchange_remaining_ms(ex),
     };
     access_log(&access);
     traffic_count(&ex->owner->router->traffic, ex->req->body_len + ex->attempt.received);
 }
 
 static void
-answer_finally(exchange_t *ex, const final_answer_t *answer)
+send_final_response(exchange_t *ex, const final_answer_t *answer)
 {
     wire_text_t fields = {0};
-    ex->owner->dialect->write_own_answer(ex->terms.id, answer->retry_after_ms, &fields);
+    ex->owner->dialect->write_gateway_response(ex->metadata.id, answer->retry_after_ms, &fields);
     log_end(ex, answer->status, answer->outcome);
     wire_respond(ex->req, answer->status, (str_t){fields.ptr, fields.len}, STR(""));
     free(fields.ptr);
@@ -67,42 +67,43 @@
 }
 
 void
-ending_refuse(exchange_t *ex, outcome_t why)
+completion_refuse(exchange_t *ex, outcome_t why)
 {
     const uint64_t uptime_ms = exchange_now_ms(ex) - ex->owner->router->started_ms;
     const final_answer_t answer = final_answer(why, ex->may_have_run, uptime_ms);
-    answer_finally(ex, &answer);
+    send_final_response(ex, &answer);
 }
 
 void
-ending_refuse_unplaced(exchange_t *ex)
+completion_refuse_no_backend(exchange_t *ex)
 {
     if (ex->choice.reason != CHOICE_PASSED) {
-        ending_refuse(ex, ex->choice.reason == CHOICE_FULL ? OUTCOME_NO_ROOM : OUTCOME_NO_BACKEND);
+        completion_refuse(ex,
+                          ex->choice.reason == CHOICE_FULL ? OUTCOME_NO_ROOM : OUTCOME_NO_BACKEND);
         return;
     }
     const double point = rng_unit(&ex->owner->router->rng);
     const final_answer_t answer = final_answer_passed(ex->may_have_run, ex->choice.wait_ms, point);
-    answer_finally(ex, &answer);
+    send_final_response(ex, &answer);
 }
 
 void
-ending_hold(exchange_t *ex, uint64_t held_ms)
+completion_refuse_quarantined(exchange_t *ex, uint64_t held_ms)
 {
     const final_answer_t answer = final_answer_held(held_ms);
     suspects_count_refused(ex->owner->suspects, &ex->fingerprint);
-    answer_finally(ex, &answer);
+    send_final_response(ex, &answer);
 }
 
 void
-ending_over_limit(exchange_t *ex, uint32_t retry_after_ms)
+completion_refuse_over_limit(exchange_t *ex, uint32_t retry_after_ms)
 {
     const final_answer_t answer = final_answer_over_limit(retry_after_ms);
-    answer_finally(ex, &answer);
+    send_final_response(ex, &answer);
 }
 
 void
-ending_cut(exchange_t *ex, outcome_t outcome)
+completion_abort(exchange_t *ex, outcome_t outcome)
 {
     log_end(ex, ex->attempt.status, outcome);
     wire_respond_abort(ex->req);
@@ -110,17 +111,17 @@
 }
 
 void
-ending_pass_on(exchange_t *ex)
+completion_forward(exchange_t *ex)
 {
     const int status = ex->attempt.status;
     const bool failed = status >= HTTP_STATUS_INTERNAL_SERVER_ERROR;
     log_end(ex, status, failed ? OUTCOME_BACKEND_FAILED : OUTCOME_ANSWERED);
-    attempt_pass_on(&ex->attempt);
+    attempt_forward_response(&ex->attempt);
     exchange_release(ex);
 }
 
 void
-ending_caller_left(exchange_t *ex)
+completion_caller_disconnected(exchange_t *ex)
 {
     log_end(ex, 0, OUTCOME_CALLER_LEFT);
     exchange_release(ex);
--- a/gateway/path/ending.h
+++ b/gateway/path/completion.h
@@ -10,16 +10,16 @@
 #include "gateway/policy/final_answer.h"
 
 /* Ends the exchange with an answer of the gateway's own. */
-void ending_refuse(exchange_t *ex, outcome_t why);
+void completion_refuse(exchange_t *ex, outcome_t why);
 /* Refuses a request for which the last choice found no backend. */
-void ending_refuse_unplaced(exchange_t *ex);
+void completion_refuse_no_backend(exchange_t *ex);
 /* Refuses a request of which nothing was sent: it is held for that time. */
-void ending_hold(exchange_t *ex, uint64_t held_ms);
+void completion_refuse_quarantined(exchange_t *ex, uint64_t held_ms);
 /* Refuses a request of which nothing was sent: its client account is beyond its limit. */
-void ending_over_limit(exchange_t *ex, uint32_t retry_after_ms);
+void completion_refuse_over_limit(exchange_t *ex, uint32_t retry_after_ms);
 /* Ends an answer that cannot be completed, so that it does not look complete. */
-void ending_cut(exchange_t *ex, outcome_t outcome);
+void completion_abort(exchange_t *ex, outcome_t outcome);
 /* Passes the backend's answer on, or the rest of it. */
-void ending_pass_on(exchange_t *ex);
+void completion_forward(exchange_t *ex);
 /* Ends the exchange of a caller that has left. */
-void ending_caller_left(exchange_t *ex);
+void completion_caller_disconnected(exchange_t *ex);
--- a/gateway/path/dispatch.c
+++ b/gateway/path/dispatch.c
@@ -4,21 +4,22 @@
 
 #include "gateway/path/dispatch.h"
 #include "gateway/path/end_check.h"
-#include "gateway/path/ending.h"
+#include "gateway/path/completion.h"
 
 choice_t
 dispatch_choose(const exchange_t *ex, bool may_ask)
 {
-    const uint32_t given_up_in_ms = exchange_left_ms(ex) > 0 ? (uint32_t)exchange_left_ms(ex) : 1;
+    const uint32_t given_up_in_ms =
+        exchange_remaining_ms(ex) > 0 ? (uint32_t)exchange_remaining_ms(ex) : 1;
     const router_request_t request = {
         .route = ex->route,
         .account = ex->account,
         .service = ex->service,
         .object = ex->object,
-        .has_object = router_has_object(ex->route, ex->terms.object),
-        .left_ms = ex->terms.has_deadline ? ex->terms.deadline_ms : given_up_in_ms,
-        .lost_ms = ex->lost_ms,
-        .version = ex->version,
+        .has_object = router_has_object(ex->route, ex->metadata.object),
+        .left_ms = ex->metadata.has_deadline ? ex->metadata.deadline_ms : given_up_in_ms,
+        .prior_wait_ms = ex->prior_wait_ms,
+        .version = ex->required_version,
         .suspected = suspects_know(ex->owner->suspects, &ex->fingerprint),
         .may_ask = may_ask && ex->permits_refused < PERMITS_REFUSED_MAX,
         .tried = ex->tried,
@@ -32,21 +33,21 @@
 {
     router_t *router = ex->owner->router;
     ex->tried[ex->tried_count++] = backend_ref(backend);
-    if (ex->use != NULL && ex->runs > 0)
-        account_uses_charge(ex->owner->account_uses, ex->use);
+    if (ex->account_use != NULL && ex->possible_runs > 0)
+        account_uses_charge(ex->owner->account_uses, ex->account_use);
     router_attempt_started(router, ex->service, backend);
     const attempt_conf_t conf = {
         .backend = backend,
-        .left_ms = exchange_left_ms(ex) > 0 ? (uint32_t)exchange_left_ms(ex) : 1,
+        .left_ms = exchange_remaining_ms(ex) > 0 ? (uint32_t)exchange_remaining_ms(ex) : 1,
         .repeatable = ex->route->repeatable,
         .queued = ex->choice.reason == CHOICE_QUEUED,
-        .again = ex->tried_count > 1,
+        .is_retry = ex->tried_count > 1,
         .slow_ms = router_slow_ms(router, ex->route),
     };
     if (ex->is_trial)
         suspects_begin_trial(ex->owner->suspects, &ex->fingerprint, exchange_now_ms(ex));
     attempt_start(&ex->attempt, &conf);
-    ex->overdue_ms = conf.slow_ms > 0 ? exchange_now_ms(ex) + conf.slow_ms : 0;
+    ex->overdue_at_ms = conf.slow_ms > 0 ? exchange_now_ms(ex) + conf.slow_ms : 0;
     exchange_set_timer(ex);
 }
 
@@ -57,9 +58,9 @@
 on_permit(void *ctx, bool given)
 {
     exchange_t *ex = ctx;
-    backend_t *backend = ex->permit_for;
+    backend_t *backend = ex->permit_backend;
     ex->permit = NULL;
-    ex->permit_for = NULL;
+    ex->permit_backend = NULL;
     ex->permits_refused += !given;
     const uint64_t now_ms = exchange_now_ms(ex);
     if (given && backend_is_usable(backend, now_ms) &&
@@ -73,7 +74,7 @@
 void
 dispatch_permit_late(exchange_t *ex)
 {
-    exchange_drop_permit(ex, true);
+    exchange_cancel_permit(ex, true);
     ex->permits_refused++;
     dispatch_next(ex);
 }
@@ -88,8 +89,8 @@
         permit_ask(ex->owner->permits, backend, on_permit, ex, &ex->permit);
     if (verdict != PERMIT_ASKED)
         return verdict;
-    ex->permit_for = backend_ref(backend);
-    ex->permit_until_ms = exchange_now_ms(ex) + PERMIT_LIFE_MS;
+    ex->permit_backend = backend_ref(backend);
+    ex->permit_wait_until_ms = exchange_now_ms(ex) + PERMIT_LIFE_MS;
     exchange_set_timer(ex);
     return verdict;
 }
@@ -102,7 +103,7 @@
         ex->choice = dispatch_choose(ex, true);
         if (ex->choice.backend == NULL) {
             router_count_refused(ex->owner->router, ex->service);
-            ending_refuse_unplaced(ex);
+            completion_refuse_no_backend(ex);
             return;
         }
         verdict = get_permit(ex, ex->choice.backend);
@@ -120,7 +121,7 @@
     attempt_cancel(&ex->attempt);
     ex->sends += ex->attempt.sent;
     ex->may_have_run |= ex->attempt.sent;
-    ex->runs += ex->attempt.sent;
+    ex->possible_runs += ex->attempt.sent;
     router_attempt_finished(ex->owner->router, ex->service, exchange_last_tried(ex),
                             ex->attempt.sent_ms);
 }
@@ -137,7 +138,7 @@
         .backends_tried = ex->tried_count,
         .sends = ex->sends,
         .sends_max = ex->route->max_attempts,
-        .left_ms = exchange_left_ms(ex),
+        .left_ms = exchange_remaining_ms(ex),
     };
 }
 
@@ -154,7 +155,7 @@
 retry_or_refuse(exchange_t *ex)
 {
     if (!may_retry(ex)) {
-        ending_refuse(ex, OUTCOME_NOT_RUN);
+        completion_refuse(ex, OUTCOME_NOT_RUN);
         return;
     }
     const uint32_t after_ms = retry_after_ms(ex->attempt.closed);
@@ -162,26 +163,26 @@
         dispatch_next(ex);
         return;
     }
-    ex->resend_ms = exchange_now_ms(ex) + after_ms;
+    ex->resend_at_ms = exchange_now_ms(ex) + after_ms;
     exchange_set_timer(ex);
 }
 
 void
 dispatch_resend(exchange_t *ex)
 {
-    ex->resend_ms = 0;
+    ex->resend_at_ms = 0;
     if (quarantine_may_resend(suspects_ends(ex->owner->suspects, &ex->fingerprint))) {
         dispatch_next(ex);
         return;
     }
     ex->retry = RETRY_HELD;
-    ending_refuse(ex, OUTCOME_NOT_RUN);
+    completion_refuse(ex, OUTCOME_NOT_RUN);
 }
 
 /* A whole answer but for a failure shows that the backend server has borne the request. Its 504 may
  * have come before the run did. */
 static void
-note_finished(const exchange_t *ex)
+record_finished(const exchange_t *ex)
 {
     if (ex->attempt.status < HTTP_STATUS_INTERNAL_SERVER_ERROR)
         suspects_finished(ex->owner->suspects, &ex->fingerprint,
@@ -191,7 +192,7 @@
 /* The connection of the last attempt was closed by the other side. The query is left out of the
  * text: it may hold what is not for logs. */
 static void
-note_closed(const exchange_t *ex)
+record_connection_closed(const exchange_t *ex)
 {
     char text[SUSPECT_TEXT_MAX];
     char caller[ADDR_TEXT_MAX];
@@ -209,7 +210,7 @@
 on_answered(exchange_t *ex)
 {
     const attempt_t *attempt = &ex->attempt;
-    note_finished(ex);
+    record_finished(ex);
     router_count_answer(ex->owner->router, ex->route, ex->service,
                         (double)(exchange_now_ms(ex) - attempt->sent_ms));
     if (retry_replaces_answer(attempt->status, ex->route->repeatable, attempt->streaming) &&
@@ -218,15 +219,15 @@
         dispatch_next(ex);
         return;
     }
-    ending_pass_on(ex);
+    completion_forward(ex);
 }
 
 void
-dispatch_on_said(void *ctx, const backend_said_t *said, bool ran)
+dispatch_on_backend_notice(void *ctx, const backend_said_t *said, bool ran)
 {
     const exchange_t *ex = ctx;
     const answer_notice_t notice = {.said = said, .sent_ms = ex->attempt.sent_ms, .ran = ran};
-    router_take_notice(ex->owner->router, exchange_last_tried(ex), &notice);
+    router_apply_notice(ex->owner->router, exchange_last_tried(ex), &notice);
 }
 
 void
@@ -236,9 +237,9 @@
     router_attempt_finished(ex->owner->router, ex->service, exchange_last_tried(ex),
                             ex->attempt.sent_ms);
     ex->sends += ex->attempt.sent;
-    ex->runs += outcome != ATTEMPT_NOT_RUN;
+    ex->possible_runs += outcome != ATTEMPT_NOT_RUN;
     if (ex->attempt.closed)
-        note_closed(ex);
+        record_connection_closed(ex);
     switch (outcome) {
     case ATTEMPT_ANSWERED:
         on_answered(ex);
@@ -250,8 +251,8 @@
         ex->may_have_run = true;
         retry_or_refuse(ex);
         break;
-    case ATTEMPT_CUT:
-        ending_cut(ex, OUTCOME_CUT_BY_BACKEND);
+    case ATTEMPT_TRUNCATED:
+        completion_abort(ex, OUTCOME_CUT_BY_BACKEND);
         break;
     }
 }
--- a/gateway/path/end_check.c
+++ b/gateway/path/end_check.c
@@ -14,21 +14,21 @@
     /* A process that ends closes its sockets one after the other, within milliseconds as a rule:
      * the sooner it is known, the fewer tries come meanwhile. One that still listens is asked once
      * more. Chosen. */
-    FIRST_MS = 5,
-    AGAIN_MS = 50,
+    FIRST_PROBE_DELAY_MS = 5,
+    SECOND_PROBE_DELAY_MS = 50,
     /* Several round trips between regions (70 ms on the users' sites). Chosen, not measured. */
-    TIMEOUT_MS = 400,
+    PROBE_TIMEOUT_MS = 400,
 };
 
 typedef struct {
     uv_loop_t *loop;
     suspects_t *suspects;
     backend_t *backend;
-    bool again; /* this is the second look */
+    bool is_second_probe;
 } check_t;
 
 static void
-count(const char *labels)
+count_outcome(const char *labels)
 {
     counter_add(counter_get("irisstall_end_checks_total", labels,
                             "Checks whether a backend server ended when a connection to it broke."),
@@ -38,10 +38,10 @@
 static void on_outcome(void *ctx, reach_t outcome);
 
 static void
-look(check_t *check, uint64_t delay_ms)
+probe(check_t *check, uint64_t delay_ms)
 {
-    wire_reach(check->loop, wire_pool_addr(check->backend->pool), delay_ms, TIMEOUT_MS, on_outcome,
-               check);
+    wire_reach(check->loop, wire_pool_addr(check->backend->pool), delay_ms, PROBE_TIMEOUT_MS,
+               on_outcome, check);
 }
 
 static void
@@ -50,19 +50,19 @@
     check_t *check = ctx;
     backend_t *backend = check->backend;
     const uint64_t life = backend_life_key(backend);
-    if (outcome == REACH_CONNECTED && !check->again) {
-        check->again = true;
-        look(check, AGAIN_MS);
+    if (outcome == REACH_CONNECTED && !check->is_second_probe) {
+        check->is_second_probe = true;
+        probe(check, SECOND_PROBE_DELAY_MS);
         return;
     }
     backend->end_check = false;
     if (outcome == REACH_REFUSED) {
         const size_t requests = suspects_confirm(check->suspects, life, loop_now(check->loop));
-        count("outcome=\"ended\"");
+        count_outcome("outcome=\"ended\"");
         LOG_INFO("backend ended: id=%s requests=%zu", backend->info.id.ptr, requests);
     } else {
         suspects_take_back(check->suspects, life);
-        count(outcome == REACH_CONNECTED ? "outcome=\"lives\"" : "outcome=\"unknown\"");
+        count_outcome(outcome == REACH_CONNECTED ? "outcome=\"lives\"" : "outcome=\"unknown\"");
     }
     backend_unref(backend);
     free(check);
@@ -81,5 +81,5 @@
     check_t *check = xcalloc(1, sizeof(*check));
     *check = (check_t){.loop = loop, .suspects = suspects, .backend = backend_ref(backend)};
     backend->end_check = true;
-    look(check, FIRST_MS);
+    probe(check, FIRST_PROBE_DELAY_MS);
 }
--- a/gateway/path/exchange.c
+++ b/gateway/path/exchange.c
@@ -1,6 +1,6 @@
 #include "base/xmalloc.h"
 #include "gateway/path/dispatch.h"
-#include "gateway/path/ending.h"
+#include "gateway/path/completion.h"
 #include "gateway/path/fingerprint.h"
 #include "gateway/path/time_limit.h"
 #include "gateway/policy/deadline.h"
@@ -14,8 +14,8 @@
 {
     const deadline_input_t input = {
         .route_limit_ms = ex->route->timeout_ms,
-        .has_caller_limit = ex->terms.has_deadline,
-        .caller_limit_ms = ex->terms.deadline_ms,
+        .has_caller_limit = ex->metadata.has_deadline,
+        .caller_limit_ms = ex->metadata.deadline_ms,
     };
     return ex->req->begun_ms + deadline_allowed_ms(&input);
 }
@@ -31,15 +31,15 @@
     uv_timer_init(exchanges->router->loop, &ex->timer);
     ex->timer.data = ex;
     ex->on_timer = time_limit_on_timer;
-    exchanges->dialect->read_request(&req->head, &ex->terms);
+    exchanges->dialect->read_request(&req->head, &ex->metadata);
     ex->fingerprint = fingerprint(req);
     ex->attempt = (attempt_t){
         .loop = exchanges->router->loop,
         .dialect = exchanges->dialect,
         .req = req,
-        .id = ex->terms.id,
+        .id = ex->metadata.id,
         .fingerprint = ex->fingerprint.request,
-        .on_said = dispatch_on_said,
+        .on_notice = dispatch_on_backend_notice,
         .cb = dispatch_on_attempt_end,
         .ctx = ex,
     };
@@ -47,17 +47,17 @@
 }
 
 static void
-on_caller_gone(void *ctx)
+on_caller_disconnected(void *ctx)
 {
     exchange_t *ex = ctx;
     dispatch_cancel(ex);
-    ending_caller_left(ex);
+    completion_caller_disconnected(ex);
 }
 
 static void
 on_caller_drained(void *ctx)
 {
-    attempt_caller_drained(&((exchange_t *)ctx)->attempt);
+    attempt_on_caller_drained(&((exchange_t *)ctx)->attempt);
 }
 
 /* What becomes of the request; sets the software version that it must go to, if there is one. */
@@ -70,37 +70,38 @@
     if (any.verdict == QUARANTINE_FREE)
         return any;
     uint64_t versions[VERSIONS_MAX];
-    quarantine_t of_versions[VERSIONS_MAX];
-    const size_t count = router_versions(owner->router, ex->service, versions, VERSIONS_MAX);
+    quarantine_t by_version[VERSIONS_MAX];
+    const size_t count = router_usable_versions(owner->router, ex->service, versions, VERSIONS_MAX);
     for (size_t i = 0; i < count; i++)
-        of_versions[i] =
+        by_version[i] =
             suspects_decide_version(owner->suspects, &ex->fingerprint, versions[i], now_ms);
-    const size_t picked = quarantine_pick_version(&any, of_versions, count);
+    const size_t picked = quarantine_pick_version(&any, by_version, count);
     if (picked == count)
         return any;
-    ex->version = versions[picked];
-    return of_versions[picked];
+    ex->required_version = versions[picked];
+    return by_version[picked];
 }
 
 /* Whose request it is. False if it was refused. */
 static bool
-identify(exchange_t *ex)
+authenticate_account(exchange_t *ex)
 {
     const config_t *config = ex->config;
-    const bool may_have = config->has_accounts && ex->terms.key_form == KEY_ONE;
+    const bool may_have_account = config->has_accounts && ex->metadata.key_form == KEY_SINGLE;
     const config_account_t *account =
-        may_have ? config_account_of_key(config, ex->terms.key) : NULL;
+        may_have_account ? config_account_of_key(config, ex->metadata.key) : NULL;
     const key_input_t input = {
         .has_accounts = config->has_accounts,
         .open_to_all = ex->route->open_to_all,
-        .form = ex->terms.key_form,
-        .key = ex->terms.key,
+        .form = ex->metadata.key_form,
+        .key = ex->metadata.key,
         .is_known = account != NULL,
         .newer_known = catalog_is_behind(&ex->owner->router->catalog),
     };
     ex->key = key_check(&input);
     if (key_is_denied(ex->key) || ex->key == KEY_BEHIND) {
-        ending_refuse(ex, ex->key == KEY_BEHIND ? OUTCOME_CONFIGURATION_BEHIND : OUTCOME_DENIED);
+        completion_refuse(ex,
+                          ex->key == KEY_BEHIND ? OUTCOME_CONFIGURATION_BEHIND : OUTCOME_DENIED);
         return false;
     }
     ex->account = account;
@@ -111,17 +112,17 @@
 
 /* Within the limit of its account. False if it was refused. */
 static bool
-count_use(exchange_t *ex)
+admit_account_use(exchange_t *ex)
 {
     uint32_t retry_after_ms = 0;
     if (ex->account == NULL)
         return true;
-    ex->admitted =
+    ex->account_admitted =
         account_uses_admit(ex->owner->account_uses, ex->account, rng_unit(&ex->owner->router->rng),
-                           exchange_now_ms(ex), &ex->use, &retry_after_ms);
-    if (!ex->admitted)
-        ending_over_limit(ex, retry_after_ms);
-    return ex->admitted;
+                           exchange_now_ms(ex), &ex->account_use, &retry_after_ms);
+    if (!ex->account_admitted)
+        completion_refuse_over_limit(ex, retry_after_ms);
+    return ex->account_admitted;
 }
 
 void
@@ -130,31 +131,31 @@
     router_t *router = exchanges->router;
     exchange_t *ex = new_exchange(exchanges, req);
     if (!router_is_ready(router)) {
-        ending_refuse(ex, OUTCOME_NO_CONFIGURATION);
+        completion_refuse(ex, OUTCOME_NO_CONFIGURATION);
         return;
     }
     ex->config = config_ref(router->catalog.config);
     ex->route = config_route(ex->config, wire_head_find(&req->head, STR("host")),
                              wire_head_path(&req->head));
     if (ex->route == NULL || ex->route->target_count == 0) {
-        ending_refuse(ex, final_answer_no_route(catalog_is_behind(&router->catalog)));
+        completion_refuse(ex, final_answer_no_route(catalog_is_behind(&router->catalog)));
         return;
     }
-    if (!identify(ex) || !count_use(ex))
+    if (!authenticate_account(ex) || !admit_account_use(ex))
         return;
     ex->service = router_service(router, ex->route);
     const quarantine_t quarantine = decide_quarantine(ex);
     if (quarantine.verdict == QUARANTINE_HELD) {
-        ending_hold(ex, quarantine.held_ms);
+        completion_refuse_quarantined(ex, quarantine.held_ms);
         return;
     }
     ex->is_trial = quarantine.verdict == QUARANTINE_TRIAL;
     router_count_request(router, ex->service);
-    ex->object = router_object(router, ex->route, ex->terms.object);
-    ex->end_ms = deadline_of(ex);
-    if (ex->terms.has_deadline)
-        ex->lost_ms = router_count_caller(router, ex->route, ex->terms.deadline_ms);
-    req->on_gone = on_caller_gone;
+    ex->object = router_object(router, ex->route, ex->metadata.object);
+    ex->deadline_at_ms = deadline_of(ex);
+    if (ex->metadata.has_deadline)
+        ex->prior_wait_ms = router_record_caller(router, ex->route, ex->metadata.deadline_ms);
+    req->on_gone = on_caller_disconnected;
     req->on_drain = on_caller_drained;
     req->ctx = ex;
     dispatch_next(ex);
--- a/gateway/path/exchange_state.c
+++ b/gateway/path/exchange_state.c
@@ -11,10 +11,10 @@
 }
 
 uint64_t
-exchange_left_ms(const exchange_t *ex)
+exchange_remaining_ms(const exchange_t *ex)
 {
     const uint64_t now = exchange_now_ms(ex);
-    return ex->end_ms > now ? ex->end_ms - now : 0;
+    return ex->deadline_at_ms > now ? ex->deadline_at_ms - now : 0;
 }
 
 backend_t *
@@ -27,13 +27,13 @@
 exchange_set_timer(exchange_t *ex)
 {
     const uint64_t now = exchange_now_ms(ex);
-    uint64_t next = ex->end_ms;
-    if (ex->overdue_ms != 0 && ex->overdue_ms < next)
-        next = ex->overdue_ms;
-    if (ex->resend_ms != 0 && ex->resend_ms < next)
-        next = ex->resend_ms;
-    if (ex->permit != NULL && ex->permit_until_ms < next)
-        next = ex->permit_until_ms;
+    uint64_t next = ex->deadline_at_ms;
+    if (ex->overdue_at_ms != 0 && ex->overdue_at_ms < next)
+        next = ex->overdue_at_ms;
+    if (ex->resend_at_ms != 0 && ex->resend_at_ms < next)
+        next = ex->resend_at_ms;
+    if (ex->permit != NULL && ex->permit_wait_until_ms < next)
+        next = ex->permit_wait_until_ms;
     uv_timer_start(&ex->timer, ex->on_timer, next > now ? next - now : 0, 0);
 }
 
@@ -50,33 +50,33 @@
 
 /* What reached no backend server that runs it does not count against the account's limit. */
 static void
-settle_use(exchange_t *ex)
+release_account_use(exchange_t *ex)
 {
-    if (ex->use == NULL)
+    if (ex->account_use == NULL)
         return;
-    if (ex->admitted && ex->runs == 0)
-        account_uses_give_back(ex->owner->account_uses, ex->use);
-    account_uses_release(ex->use);
-    ex->use = NULL;
+    if (ex->account_admitted && ex->possible_runs == 0)
+        account_uses_give_back(ex->owner->account_uses, ex->account_use);
+    account_uses_release(ex->account_use);
+    ex->account_use = NULL;
 }
 
 void
-exchange_drop_permit(exchange_t *ex, bool late)
+exchange_cancel_permit(exchange_t *ex, bool late)
 {
     if (ex->permit != NULL)
         permit_cancel(ex->permit, late);
-    if (ex->permit_for != NULL)
-        backend_unref(ex->permit_for);
+    if (ex->permit_backend != NULL)
+        backend_unref(ex->permit_backend);
     ex->permit = NULL;
-    ex->permit_for = NULL;
+    ex->permit_backend = NULL;
 }
 
 void
 exchange_release(exchange_t *ex)
 {
     xassert(!ex->done);
-    exchange_drop_permit(ex, false);
-    settle_use(ex);
+    exchange_cancel_permit(ex, false);
+    release_account_use(ex);
     ex->done = true;
     ex->owner->active--;
     uv_close((uv_handle_t *)&ex->timer, on_timer_closed);
--- a/gateway/path/time_limit.c
+++ b/gateway/path/time_limit.c
@@ -2,7 +2,7 @@
 #define LOG_MODULE "exchange"
 #include "base/log.h"
 #include "gateway/path/dispatch.h"
-#include "gateway/path/ending.h"
+#include "gateway/path/completion.h"
 #include "gateway/path/time_limit.h"
 
 /* The deadline has come. */
@@ -13,9 +13,9 @@
         attempt_record(&ex->attempt, true);
     dispatch_cancel(ex);
     if (ex->attempt.streaming)
-        ending_cut(ex, OUTCOME_CUT_AT_DEADLINE);
+        completion_abort(ex, OUTCOME_CUT_AT_DEADLINE);
     else
-        ending_refuse(ex, OUTCOME_TIMEOUT);
+        completion_refuse(ex, OUTCOME_TIMEOUT);
 }
 
 /* True if the overdue attempt may be broken off in favour of another one. */
@@ -39,7 +39,7 @@
 on_overdue(exchange_t *ex)
 {
     attempt_t *attempt = &ex->attempt;
-    ex->overdue_ms = 0;
+    ex->overdue_at_ms = 0;
     if (attempt->call == NULL || attempt->head_seen)
         return;
     if (attempt_is_slow(attempt))
@@ -50,7 +50,7 @@
     backend_t *other = choice.backend;
     if (other == NULL)
         return;
-    LOG_INFO("attempt abandoned: id=%.*s backend=%s after_ms=%llu for=%s", STR_ARG(ex->terms.id),
+    LOG_INFO("attempt abandoned: id=%.*s backend=%s after_ms=%llu for=%s", STR_ARG(ex->metadata.id),
              attempt->backend->info.id.ptr,
              (unsigned long long)(exchange_now_ms(ex) - attempt->sent_ms), other->info.id.ptr);
     dispatch_cancel(ex);
@@ -62,13 +62,13 @@
 time_limit_on_timer(uv_timer_t *timer)
 {
     exchange_t *ex = timer->data;
-    if (exchange_now_ms(ex) >= ex->end_ms) {
+    if (exchange_now_ms(ex) >= ex->deadline_at_ms) {
         give_up(ex);
         return;
     }
-    if (ex->permit != NULL && exchange_now_ms(ex) >= ex->permit_until_ms)
+    if (ex->permit != NULL && exchange_now_ms(ex) >= ex->permit_wait_until_ms)
         dispatch_permit_late(ex);
-    else if (ex->resend_ms != 0 && exchange_now_ms(ex) >= ex->resend_ms)
+    else if (ex->resend_at_ms != 0 && exchange_now_ms(ex) >= ex->resend_at_ms)
         dispatch_resend(ex);
     else
         on_overdue(ex);
--- a/gateway/path/time_limit.h
+++ b/gateway/path/time_limit.h
@@ -3,7 +3,7 @@
  * attempt under way is overdue and may be replaced by another one.
  *
  * policy/deadline.h, policy/slow.h and policy/retry.h decide. Relies on dispatch.h to break off and
- * send again, on ending.h to give up.
+ * send again, on completion.h to give up.
  */
 #pragma once
 
--- a/gateway/policy/key_check.c
+++ b/gateway/policy/key_check.c
@@ -5,7 +5,7 @@
 {
     if (input->form == KEY_NONE)
         return KEY_ABSENT;
-    if (input->form == KEY_SEVERAL)
+    if (input->form == KEY_MULTIPLE)
         return KEY_AMBIGUOUS;
     return input->key.len == 0 ? KEY_EMPTY : KEY_UNKNOWN;
 }
@@ -15,7 +15,7 @@
 {
     if (!input->has_accounts)
         return KEY_NOT_NEEDED;
-    if (input->form == KEY_ONE && input->is_known)
+    if (input->form == KEY_SINGLE && input->is_known)
         return KEY_KNOWN;
     if (input->open_to_all)
         return KEY_NOT_NEEDED;
--- a/gateway/policy/key_check.h
+++ b/gateway/policy/key_check.h
@@ -37,7 +37,7 @@
 typedef struct {
     bool has_accounts; /* the configuration in force */
     bool open_to_all;  /* the route */
-    key_form_t form;
+    key_presence_t form;
     str_t key;
     bool is_known;    /* an account has it */
     bool newer_known; /* a configuration than the one in force */
--- a/gateway/ports.h
+++ b/gateway/ports.h
@@ -81,52 +81,53 @@
 /* The key that a request brings. */
 typedef enum {
     KEY_NONE,
-    KEY_ONE,
-    KEY_SEVERAL, /* whose request it is cannot be told */
-} key_form_t;
+    KEY_SINGLE,
+    KEY_MULTIPLE, /* whose request it is cannot be told */
+} key_presence_t;
 
 /* What a request says beside its method, target and body. Texts point into the head. */
 typedef struct {
     str_t id;  /* of this attempt of the caller's */
     str_t key; /* of a client account; it goes to no log and no backend server */
-    key_form_t key_form;
+    key_presence_t key_form;
     str_t object; /* what the request is about; empty if it does not say */
     bool has_deadline;
     uint32_t deadline_ms; /* time that the caller waits */
-} caller_terms_t;
+} request_metadata_t;
 
 /* What a backend server is told beside the request. */
 typedef struct {
     str_t backend; /* id that the request is meant for */
     str_t account; /* name of the client account, empty for none */
     uint32_t left_ms;
-} backend_terms_t;
+} forward_metadata_t;
 
 typedef enum {
-    VERDICT_ANSWER,      /* the backend's answer, to be passed on */
+    VERDICT_RESPONSE,    /* the backend's answer, to be passed on */
     VERDICT_NOT_RUN,     /* the backend says that it did not run the request */
     VERDICT_MISDIRECTED, /* another backend has the address; not run */
-    VERDICT_BAD,         /* not an answer of the protocol */
-} answer_verdict_t;
+    VERDICT_INVALID,     /* not an answer of the protocol */
+} response_verdict_t;
 
 typedef struct {
-    void (*read_request)(const wire_head_t *head, caller_terms_t *out);
+    void (*read_request)(const wire_head_t *head, request_metadata_t *out);
     /* Appends the request's fields for a backend; the body's framing is added by the gateway. Keys
      * are left out, and the client account's name stands in place of what the caller sent: empty
      * for none. */
-    void (*write_request)(const wire_head_t *head, const backend_terms_t *terms, wire_text_t *out);
+    void (*write_request)(const wire_head_t *head, const forward_metadata_t *terms,
+                          wire_text_t *out);
     /* True if the answer belongs to the request with that id. */
     bool (*answers)(const wire_head_t *head, str_t id);
-    answer_verdict_t (*judge)(const wire_head_t *head);
+    response_verdict_t (*judge)(const wire_head_t *head);
     /* False if the answer reports no load. */
     bool (*load)(const wire_head_t *head, reported_load_t *out);
     /* What the answer says beside it. */
     void (*notice)(const wire_head_t *head, backend_said_t *out);
     /* Appends the answer's fields for the caller. */
-    void (*write_answer)(const wire_head_t *head, wire_text_t *out);
+    void (*write_response)(const wire_head_t *head, wire_text_t *out);
     /* Appends the fields of an answer of the gateway's own; `retry_ms` 0 leaves out when to come
      * back. */
-    void (*write_own_answer)(str_t id, uint32_t retry_ms, wire_text_t *out);
+    void (*write_gateway_response)(str_t id, uint32_t retry_ms, wire_text_t *out);
 } dialect_port_t;
 
 /* ---- the directory and readiness ---- */
@@ -136,11 +137,11 @@
     str_t service;
     str_t region;
     str_t hall;
-} directory_question_t;
+} directory_query_t;
 
 typedef struct {
-    bool (*is_ready_question)(const wire_head_t *head);
-    bool (*read_question)(const wire_head_t *head, directory_question_t *out);
+    bool (*is_readiness_query)(const wire_head_t *head);
+    bool (*read_query)(const wire_head_t *head, directory_query_t *out);
     /* Appends fields and body; `ttl_s` is how long, in seconds, the caller may keep the answer. */
     void (*write_addresses)(const addr_t *addrs, size_t count, double ttl_s, wire_text_t *fields,
                             wire_text_t *body);
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -33,7 +33,7 @@
         .key = member_key(conf->instance),
         .region = topology_region_of(conf->topology, conf->hall),
         .started_ms = loop_now(loop),
-        .living = 1,
+        .live_instances = 1,
     };
     xassert(name_set(&router->instance, conf->instance));
     xassert(name_set(&router->hall, conf->hall));
@@ -91,7 +91,7 @@
 {
     const uint64_t now_ms = loop_now(router->loop);
     router->instances = (unsigned)members_total(members, router->region);
-    router->living = (unsigned)members_living_everywhere(members, now_ms);
+    router->live_instances = (unsigned)members_living_everywhere(members, now_ms);
     router->sender_count = members_cold_senders(members, router->senders, MEMBERS_MAX);
     router->senders_settled = now_ms - router->started_ms > SETTLED_AFTER_MS;
 }
@@ -201,7 +201,7 @@
 }
 
 static bool
-holds(const uint64_t *items, size_t count, uint64_t wanted)
+contains(const uint64_t *items, size_t count, uint64_t wanted)
 {
     for (size_t i = 0; i < count; i++) {
         if (items[i] == wanted)
@@ -211,15 +211,15 @@
 }
 
 size_t
-router_versions(const router_t *router, const service_t *service, uint64_t *out, size_t most)
+router_usable_versions(const router_t *router, const service_t *service, uint64_t *out, size_t max)
 {
     const backends_t *backends = &router->catalog.backends;
     const uint64_t now_ms = loop_now(router->loop);
     size_t count = 0;
-    for (size_t i = 0; i < backends->count && count < most; i++) {
+    for (size_t i = 0; i < backends->count && count < max; i++) {
         const backend_t *backend = backends->items[i];
         const uint64_t version = backend->info.version;
-        if (version != 0 && !holds(out, count, version) &&
+        if (version != 0 && !contains(out, count, version) &&
             name_eq(&backend->info.service, name_str(&service->name)) &&
             backend_is_usable(backend, now_ms))
             out[count++] = version;
@@ -245,7 +245,7 @@
         .aim_ms = route->aim_ms,
         .left_ms = request->left_ms,
         .usual_ms = route_stats_median_ms(&router->routes, route->key),
-        .lost_ms = request->lost_ms,
+        .lost_ms = request->prior_wait_ms,
     };
     const choice_t choice = choice_make(&input);
     if (choice.backend != NULL && backend_is_cold(choice.backend, input.now_ms))
@@ -268,7 +268,7 @@
 }
 
 double
-router_count_caller(router_t *router, const config_route_t *route, uint32_t left_ms)
+router_record_caller(router_t *router, const config_route_t *route, uint32_t left_ms)
 {
     const double usual_ms = route_stats_count_caller(&router->routes, route->key, left_ms);
     return usual_ms > left_ms ? usual_ms - left_ms : 0;
@@ -288,7 +288,7 @@
 }
 
 static void
-take_rest(router_t *router, backend_t *backend, const answer_notice_t *notice)
+apply_rest(router_t *router, backend_t *backend, const answer_notice_t *notice)
 {
     const uint64_t now_ms = loop_now(router->loop);
     const bool rested = backend->rest.until_ms > 0;
@@ -305,14 +305,14 @@
 }
 
 void
-router_take_notice(router_t *router, backend_t *backend, const answer_notice_t *notice)
+router_apply_notice(router_t *router, backend_t *backend, const answer_notice_t *notice)
 {
     const backend_said_t *said = notice->said;
-    take_rest(router, backend, notice);
+    apply_rest(router, backend, notice);
     if (said->unusable > 0)
         catalog_count_unusable_notice(backend, said->unusable);
     /* One that turns a request away may leave out what it says in answers of its runs. */
-    const bool tells_limit = said->names_limit || notice->ran;
+    const bool limit_known = said->names_limit || notice->ran;
     const notice_t news = {
         .backend = backend->info.id,
         .born = backend->info.born,
@@ -320,7 +320,7 @@
             {
                 .named = said->names_limit,
                 .per_s = said->limit_per_s,
-                .said_ms = tells_limit ? notice->sent_ms : 0,
+                .said_ms = limit_known ? notice->sent_ms : 0,
             },
         .leaves = said->leaves,
         .leaves_ms = loop_now(router->loop),
--- a/gateway/router.h
+++ b/gateway/router.h
@@ -52,8 +52,8 @@
     cold_sender_t senders[MEMBERS_MAX]; /* all instances ever heard of */
     size_t sender_count;
     bool senders_settled;
-    unsigned living;    /* instances heard of lately, this one too */
-    unsigned instances; /* of the whole fleet */
+    unsigned live_instances; /* instances heard of lately, this one too */
+    unsigned instances;      /* of the whole fleet */
 } router_t;
 
 /* A request that needs a backend. */
@@ -63,11 +63,11 @@
     service_t *service;
     uint64_t object; /* from router_object() */
     bool has_object;
-    uint32_t left_ms; /* time that the caller still waits */
-    double lost_ms;   /* that the caller has lost before, from router_count_caller() */
-    uint64_t version; /* only backends of that software version; 0: any */
-    bool suspected;   /* a backend server has ended under it */
-    bool may_ask;     /* it may ask for a permit (policy/pass_over.h) */
+    uint32_t left_ms;     /* time that the caller still waits */
+    double prior_wait_ms; /* that the caller has lost before, from router_record_caller() */
+    uint64_t version;     /* only backends of that software version; 0: any */
+    bool suspected;       /* a backend server has ended under it */
+    bool may_ask;         /* it may ask for a permit (policy/pass_over.h) */
     backend_t *const *tried;
     size_t tried_count;
 } router_request_t;
@@ -91,8 +91,8 @@
 uint64_t router_object(router_t *router, const config_route_t *route, str_t object);
 /* The software versions that usable backends of the service run, `most` at the most; returns their
  * number. */
-size_t router_versions(const router_t *router, const service_t *service, uint64_t *out,
-                       size_t most);
+size_t router_usable_versions(const router_t *router, const service_t *service, uint64_t *out,
+                              size_t max);
 choice_t router_pick(router_t *router, const router_request_t *request);
 /* The decision that router_pick() would make, without carrying it out; for the admin pages. */
 choice_input_t router_explain_input(const router_t *router, const config_route_t *route,
@@ -100,7 +100,7 @@
 
 /* A caller that still waits for `left_ms` has come; returns the time in milliseconds that it has
  * lost before: more than 0 if it comes again after a refusal. */
-double router_count_caller(router_t *router, const config_route_t *route, uint32_t left_ms);
+double router_record_caller(router_t *router, const config_route_t *route, uint32_t left_ms);
 /* A request has arrived: it adds to the budgets of its service. */
 void router_count_request(router_t *router, service_t *service);
 /* A request found no backend. */
@@ -111,7 +111,7 @@
     uint64_t sent_ms; /* loop time at which its request was sent */
     bool ran;         /* the backend ran that request */
 } answer_notice_t;
-void router_take_notice(router_t *router, backend_t *backend, const answer_notice_t *notice);
+void router_apply_notice(router_t *router, backend_t *backend, const answer_notice_t *notice);
 /* An attempt at a backend starts, and finishes; it was sent at that loop time. */
 void router_attempt_started(router_t *router, service_t *service, backend_t *backend);
 void router_attempt_finished(router_t *router, service_t *service, backend_t *backend,
--- a/test/gateway/site.c
+++ b/test/gateway/site.c
@@ -415,7 +415,7 @@
         RUN_UNTIL(fleet->site, is_ready(fleet->site));
     }
     for (size_t i = 0; i < count; i++)
-        RUN_UNTIL(fleet->site, gateway_living(fleet->gateways[i]) == count);
+        RUN_UNTIL(fleet->site, gateway_live_instances(fleet->gateways[i]) == count);
 }
 
 instances_t
--- a/test/gateway/test_accounts.c
+++ b/test/gateway/test_accounts.c
@@ -246,7 +246,7 @@
     use_gateway(site, second);
     callers[1] = site->callers;
     RUN_UNTIL(site, ask(site, "GET", "/open/x").status == 200);
-    RUN_UNTIL(site, gateway_living(first) == 2 && gateway_living(second) == 2);
+    RUN_UNTIL(site, gateway_live_instances(first) == 2 && gateway_live_instances(second) == 2);
     unsigned served = 0;
     for (int i = 0; i < ROUNDS; i++) {
         uv_update_time(&site->loop);
@@ -318,14 +318,15 @@
         key_input_t input;
         key_verdict_t verdict;
     } rows[] = {
-        {{.has_accounts = false, .form = KEY_SEVERAL}, KEY_NOT_NEEDED},
+        {{.has_accounts = false, .form = KEY_MULTIPLE}, KEY_NOT_NEEDED},
         {{.has_accounts = true, .open_to_all = true}, KEY_NOT_NEEDED},
-        {{.has_accounts = true, .open_to_all = true, .form = KEY_ONE, .is_known = true}, KEY_KNOWN},
+        {{.has_accounts = true, .open_to_all = true, .form = KEY_SINGLE, .is_known = true},
+         KEY_KNOWN},
         {{.has_accounts = true, .form = KEY_NONE}, KEY_ABSENT},
         {{.has_accounts = true, .form = KEY_NONE, .newer_known = true}, KEY_BEHIND},
-        {{.has_accounts = true, .form = KEY_SEVERAL, .key = {"k", 1}}, KEY_AMBIGUOUS},
-        {{.has_accounts = true, .form = KEY_ONE}, KEY_EMPTY},
-        {{.has_accounts = true, .form = KEY_ONE, .key = {"k", 1}}, KEY_UNKNOWN},
+        {{.has_accounts = true, .form = KEY_MULTIPLE, .key = {"k", 1}}, KEY_AMBIGUOUS},
+        {{.has_accounts = true, .form = KEY_SINGLE}, KEY_EMPTY},
+        {{.has_accounts = true, .form = KEY_SINGLE, .key = {"k", 1}}, KEY_UNKNOWN},
     };
     for (size_t i = 0; i < ALEN(rows); i++)
         ck_assert_int_eq(key_check(&rows[i].input), rows[i].verdict);
--- a/test/gateway/test_backend_limit.c
+++ b/test/gateway/test_backend_limit.c
@@ -176,7 +176,7 @@
     addr_t own = site->any;
     addr_set_port(&own, peer_hub_port(hub));
     send_heartbeat(hub, &own, &gateway_settings(fleet.gateways[0])->peer);
-    RUN_UNTIL(site, gateway_living(fleet.gateways[0]) == 2);
+    RUN_UNTIL(site, gateway_live_instances(fleet.gateways[0]) == 2);
     const size_t before = site->backends[0].arrival_count;
     for (size_t i = 0; i < ROUNDS; i++) {
         send_heartbeat(hub, &own, &gateway_settings(fleet.gateways[0])->peer);
--- a/test/gateway/test_lateness.c
+++ b/test/gateway/test_lateness.c
@@ -5,13 +5,16 @@
 
 START_TEST(each_late_answer_has_one_cause)
 {
-    const lateness_input_t in_time = {
-        .aim_ms = 250, .elapsed_ms = 120, .attempt_ms = 118, .usual_ms = 110, .slow_ms = 430};
+    const lateness_input_t in_time = {.objective_ms = 250,
+                                      .elapsed_ms = 120,
+                                      .attempt_ms = 118,
+                                      .typical_ms = 110,
+                                      .slow_ms = 430};
     lateness_input_t input = in_time;
-    ck_assert_int_eq(lateness_cause(&input), LATE_NOT);
+    ck_assert_int_eq(lateness_cause(&input), LATE_NONE);
 
-    input.lost_ms = 400;
-    ck_assert_int_eq(lateness_cause(&input), LATE_REFUSED_BEFORE);
+    input.prior_wait_ms = 400;
+    ck_assert_int_eq(lateness_cause(&input), LATE_PRIOR_REFUSAL);
 
     input = in_time;
     input.elapsed_ms = 400;
@@ -19,7 +22,7 @@
 
     input.attempt_ms = 398;
     ck_assert_int_eq(lateness_cause(&input), LATE_COLD_OBJECT);
-    input.full = true;
+    input.slots_full = true;
     ck_assert_int_eq(lateness_cause(&input), LATE_LOAD_UNKNOWN);
     input.queued = true;
     ck_assert_int_eq(lateness_cause(&input), LATE_QUEUED);
@@ -34,17 +37,17 @@
     input = in_time;
     input.elapsed_ms = 300;
     input.attempt_ms = 290;
-    input.usual_ms = 280;
-    ck_assert_int_eq(lateness_cause(&input), LATE_USUAL);
+    input.typical_ms = 280;
+    ck_assert_int_eq(lateness_cause(&input), LATE_TYPICAL_LATENCY);
     input.other_region = true;
-    ck_assert_int_eq(lateness_cause(&input), LATE_FAR);
+    ck_assert_int_eq(lateness_cause(&input), LATE_OTHER_REGION);
 }
 END_TEST
 
 START_TEST(without_an_objective_nothing_is_late)
 {
-    const lateness_input_t input = {.elapsed_ms = 5000, .attempt_ms = 5000, .lost_ms = 400};
-    ck_assert_int_eq(lateness_cause(&input), LATE_NOT);
+    const lateness_input_t input = {.elapsed_ms = 5000, .attempt_ms = 5000, .prior_wait_ms = 400};
+    ck_assert_int_eq(lateness_cause(&input), LATE_NONE);
 }
 END_TEST
 
--- a/test/gateway/test_peers.c
+++ b/test/gateway/test_peers.c
@@ -45,7 +45,7 @@
         start_gateway(site, "g-2", &site->store_port, &gateway_settings(first)->peer);
     use_gateway(site, second);
     RUN_UNTIL(site, is_ready(site));
-    RUN_UNTIL(site, gateway_living(first) == 2 && gateway_living(second) == 2);
+    RUN_UNTIL(site, gateway_live_instances(first) == 2 && gateway_live_instances(second) == 2);
     site->callers = first_callers;
     failing->behaviour = DOES_FAIL;
     for (int i = 0; i < FAILURES; i++)
@@ -131,7 +131,7 @@
     site_t *site = new_ready_site(1);
     standin_store_refuse_lists(site->store, "irisstall-instances", 2);
     use_gateway(site, start_gateway(site, "g-2", &site->store_port, NULL));
-    RUN_UNTIL(site, gateway_living(site->gateway) == 2);
+    RUN_UNTIL(site, gateway_live_instances(site->gateway) == 2);
 }
 END_TEST
 
--- a/test/gateway/test_platform.c
+++ b/test/gateway/test_platform.c
@@ -28,14 +28,14 @@
 START_TEST(judges_answers)
 {
     wire_head_t plain = answer_head(200);
-    ck_assert_int_eq(platform_dialect.judge(&plain), VERDICT_BAD);
+    ck_assert_int_eq(platform_dialect.judge(&plain), VERDICT_INVALID);
     add_field(&plain, "response-signature", "x");
-    ck_assert_int_eq(platform_dialect.judge(&plain), VERDICT_ANSWER);
+    ck_assert_int_eq(platform_dialect.judge(&plain), VERDICT_RESPONSE);
     wire_head_t failed = answer_head(500);
-    ck_assert_int_eq(platform_dialect.judge(&failed), VERDICT_ANSWER);
+    ck_assert_int_eq(platform_dialect.judge(&failed), VERDICT_RESPONSE);
     /* A 503 alone is no promise that the request has not run. */
     wire_head_t busy = answer_head(503);
-    ck_assert_int_eq(platform_dialect.judge(&busy), VERDICT_ANSWER);
+    ck_assert_int_eq(platform_dialect.judge(&busy), VERDICT_RESPONSE);
     add_field(&busy, "Not-Executed", "1");
     ck_assert_int_eq(platform_dialect.judge(&busy), VERDICT_NOT_RUN);
     wire_head_t other = answer_head(421);
@@ -50,7 +50,7 @@
 START_TEST(rewrites_a_request)
 {
     wire_head_t head = {0};
-    caller_terms_t terms;
+    request_metadata_t terms;
     add_field(&head, "Host", "h.example");
     add_field(&head, "Attempt-Id", "abc");
     add_field(&head, "Deadline-Ms", "2500");
@@ -65,11 +65,11 @@
     ck_assert(terms.has_deadline);
     ck_assert_uint_eq(terms.deadline_ms, 2500);
     wire_text_t out = {0};
-    const backend_terms_t to_backend = {STR("i-1"), STR("acme"), 1200};
+    const forward_metadata_t to_backend = {STR("i-1"), STR("acme"), 1200};
     platform_dialect.write_request(&head, &to_backend, &out);
     ck_assert_str_eq(out.ptr, "Host: h.example\r\nAttempt-Id: abc\r\nX-Other: kept\r\n"
                               "Deadline-Ms: 1200\r\nExpect-Instance: i-1\r\nTenant: acme\r\n");
-    ck_assert(terms.key_form == KEY_ONE && str_eq(terms.key, STR("k-secret")));
+    ck_assert(terms.key_form == KEY_SINGLE && str_eq(terms.key, STR("k-secret")));
     ck_assert(platform_dialect.answers(&head, STR("abc")));
     ck_assert(!platform_dialect.answers(&head, STR("abd")));
     free(out.ptr);
@@ -152,7 +152,7 @@
 START_TEST(own_answers_say_when_to_come_back)
 {
     wire_text_t out = {0};
-    platform_dialect.write_own_answer(STR("q"), 1400, &out);
+    platform_dialect.write_gateway_response(STR("q"), 1400, &out);
     ck_assert_str_eq(out.ptr, "Attempt-Id: q\r\nRetry-After: 1.400\r\n");
     free(out.ptr);
 }
@@ -161,10 +161,10 @@
 START_TEST(directory_speaks_the_protocol)
 {
     wire_head_t head = {0};
-    directory_question_t question;
+    directory_query_t question;
     const char *target = "/v1/resolve?name=h.example&region=a&zone=a1";
     wire_head_add_target(&head, target, strlen(target));
-    ck_assert(platform_directory.read_question(&head, &question));
+    ck_assert(platform_directory.read_query(&head, &question));
     ck_assert(str_eq(question.service, STR("h.example")));
     ck_assert(str_eq(question.region, STR("a")));
     ck_assert(str_eq(question.hall, STR("a1")));
--- a/test/gateway/test_quarantine.c
+++ b/test/gateway/test_quarantine.c
@@ -147,7 +147,7 @@
         RUN_UNTIL(site, is_ready(site));
     }
     for (size_t i = 0; i < LARGE; i++)
-        RUN_UNTIL(site, gateway_living(gateways[i]) == LARGE);
+        RUN_UNTIL(site, gateway_live_instances(gateways[i]) == LARGE);
     site->poison = "/once/poison";
     for (size_t i = 0; i < LARGE_TRIES; i++) {
         site->callers = callers[i];
--- a/test/gateway/test_suspension.c
+++ b/test/gateway/test_suspension.c
@@ -173,11 +173,11 @@
         start_gateway(site, "g-2", &site->store_port, &gateway_settings(first)->peer);
     use_gateway(site, second);
     RUN_UNTIL(site, is_ready(site));
-    RUN_UNTIL(site, gateway_living(first) == 2 && gateway_living(second) == 2);
+    RUN_UNTIL(site, gateway_live_instances(first) == 2 && gateway_live_instances(second) == 2);
     loop_time_suspend(LONG_MS);
     const uint64_t before_ms = unsuspended_ms(site);
     ck_assert_int_eq(ask(site, "GET", "/safe/x").status, 200);
-    RUN_UNTIL(site, gateway_living(first) == 2 && gateway_living(second) == 2);
+    RUN_UNTIL(site, gateway_live_instances(first) == 2 && gateway_live_instances(second) == 2);
     ck_assert_uint_lt(unsuspended_ms(site) - before_ms, 2 * SOON_MS);
 }
 END_TEST
--- a/test/gateway/test_view_relay.c
+++ b/test/gateway/test_view_relay.c
@@ -292,7 +292,7 @@
     site_t *site = new_ready_site(1);
     peer_t *peer = new_peer(site, site->gateway);
     stall(peer);
-    RUN_UNTIL(site, gateway_living(site->gateway) == 2);
+    RUN_UNTIL(site, gateway_live_instances(site->gateway) == 2);
     site->extra_routes = ROUTES;
     const int64_t before = changed_bytes();
     put_config(site, NULL);
@@ -333,7 +333,7 @@
     enum { NEWER = 1000 };
     site_t *site = new_ready_site(1);
     peer_t *peer = new_peer(site, site->gateway);
-    RUN_UNTIL(site, gateway_living(site->gateway) == 2);
+    RUN_UNTIL(site, gateway_live_instances(site->gateway) == 2);
     ck_assert_int_eq(ask(site, "GET", "/none/x").status, 404);
     peer->at = NEWER;
     run_for(site, 3 * HEARTBEAT_MS);
@@ -350,12 +350,12 @@
     enum { NEWER = 1000 };
     site_t *site = new_ready_site(1);
     peer_t *peer = new_peer(site, site->gateway);
-    RUN_UNTIL(site, gateway_living(site->gateway) == 2);
+    RUN_UNTIL(site, gateway_live_instances(site->gateway) == 2);
     peer->at = NEWER;
     run_for(site, 3 * HEARTBEAT_MS);
     ck_assert_int_eq(ask(site, "GET", "/none/x").status, 503);
     peer->silent = true;
-    RUN_UNTIL(site, gateway_living(site->gateway) == 1);
+    RUN_UNTIL(site, gateway_live_instances(site->gateway) == 1);
     run_for(site, 3 * HEARTBEAT_MS);
     ck_assert_int_eq(ask(site, "GET", "/none/x").status, 404);
 }
@@ -368,7 +368,7 @@
     enum { ROUTES = 1500, ROUNDS = 14, ROUND_MS = 210, PUSHES_MAX = 5 };
     site_t *site = new_ready_site(1);
     peer_t *peer = new_peer(site, site->gateway);
-    RUN_UNTIL(site, gateway_living(site->gateway) == 2);
+    RUN_UNTIL(site, gateway_live_instances(site->gateway) == 2);
     site->extra_routes = ROUTES;
     for (int round = 0; round < ROUNDS; round++) {
         put_config(site, NULL);
@@ -387,7 +387,7 @@
     enum { ROUTES = 500, REQUESTS = 10, CONFIG_BYTES = 90000, BURST = 256000, RUN_MS = 300 };
     site_t *site = new_ready_site(1);
     peer_t *peer = new_peer(site, site->gateway);
-    RUN_UNTIL(site, gateway_living(site->gateway) == 2);
+    RUN_UNTIL(site, gateway_live_instances(site->gateway) == 2);
     site->extra_routes = ROUTES;
     put_config(site, NULL);
     RUN_UNTIL(site, peer->version == site->version);
@@ -407,7 +407,7 @@
     enum { ROUTES = 500, ROUTES_BYTES = 80000 };
     site_t *site = new_ready_site(1);
     peer_t *peer = new_peer(site, site->gateway);
-    RUN_UNTIL(site, gateway_living(site->gateway) == 2);
+    RUN_UNTIL(site, gateway_live_instances(site->gateway) == 2);
     site->extra_routes = ROUTES;
     int64_t before = changed_bytes();
     put_config(site, NULL);
@@ -434,7 +434,7 @@
     use_gateway(site, start_gateway(site, "g-1", &site->store_port, NULL));
     RUN_UNTIL(site, is_ready(site));
     peer_t *peer = new_peer(site, site->gateway);
-    RUN_UNTIL(site, gateway_living(site->gateway) == 2);
+    RUN_UNTIL(site, gateway_live_instances(site->gateway) == 2);
     const int64_t before = requested_bytes();
     send_request(peer);
     RUN_UNTIL(site, peer->sent_away == 1);
@@ -558,7 +558,7 @@
     for (int i = 0; i < CHANGES; i++)
         put_config(site, NULL);
     peer_t *peer = new_peer(site, site->gateway);
-    RUN_UNTIL(site, gateway_living(site->gateway) == 2);
+    RUN_UNTIL(site, gateway_live_instances(site->gateway) == 2);
     run_for(site, 10 * HEARTBEAT_MS);
     const size_t before = peer->pushes;
     char *body = xmalloc(BODY_BYTES);
@@ -595,7 +595,7 @@
         site_t *site = new_ready_site(2);
         peer_t *peer = new_peer(site, site->gateway);
         peer->unpacks = peer->reads_lists = reads_lists != 0;
-        RUN_UNTIL(site, gateway_living(site->gateway) == 2);
+        RUN_UNTIL(site, gateway_live_instances(site->gateway) == 2);
         run_for(site, 5 * HEARTBEAT_MS);
         standin_store_set_delay(site->store, 300); /* so that one watch brings all */
         for (int i = 0; i < ENTRIES; i++) {
@@ -647,7 +647,7 @@
     enum { CHANGES = 4 };
     site_t *site = new_ready_site(1);
     peer_t *peer = new_peer(site, site->gateway);
-    RUN_UNTIL(site, gateway_living(site->gateway) == 2);
+    RUN_UNTIL(site, gateway_live_instances(site->gateway) == 2);
     uint64_t first_from = 0;
     for (size_t i = 1; i <= CHANGES; i++) {
         put_config(site, NULL);
@@ -682,7 +682,7 @@
     for (size_t i = 0; i < ALEN(others); i++)
         peer->to[peer->to_count++] = gateway_settings(others[i])->peer;
     for (size_t i = 0; i < ALEN(others); i++) {
-        RUN_UNTIL(site, gateway_living(others[i]) == INSTANCES + 2);
+        RUN_UNTIL(site, gateway_live_instances(others[i]) == INSTANCES + 2);
         use_gateway(site, others[i]);
         RUN_UNTIL(site, is_ready(site));
     }
