--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -116,7 +116,7 @@
 }
 
 static void
-answer_metrics(const admin_t *admin, wire_request_t *req)
+respond_metrics(const admin_t *admin, wire_request_t *req)
 {
     const router_t *router = admin->router;
     set_gauge("irisstall_config_revision", "Store revision of the configuration in force.",
@@ -157,7 +157,7 @@
 }
 
 static void
-answer_status(const admin_t *admin, wire_text_t *out)
+write_status(const admin_t *admin, wire_text_t *out)
 {
     const inspect_status_t status = {
         .router = admin->router,
@@ -172,7 +172,7 @@
 
 /* Lifts what is held against a request or family, at all instances. */
 static void
-answer_lift(const admin_t *admin, wire_request_t *req)
+handle_quarantine_lift(const admin_t *admin, wire_request_t *req)
 {
     const str_t text = wire_head_query(&req->head, STR("request"));
     char digits[FINGERPRINT_DIGITS + 1];
@@ -191,22 +191,22 @@
 }
 
 void
-admin_answer(const admin_t *admin, wire_request_t *req)
+admin_handle_request(const admin_t *admin, wire_request_t *req)
 {
     const str_t path = wire_head_path(&req->head);
     wire_text_t text = {0};
     if (str_eq(path, STR("/metrics"))) {
-        answer_metrics(admin, req);
+        respond_metrics(admin, req);
         return;
     }
     if (str_eq(path, STR("/quarantine/lift")) && req->head.method == HTTP_POST) {
-        answer_lift(admin, req);
+        handle_quarantine_lift(admin, req);
         return;
     }
     if (str_eq(path, STR("/table")))
         inspect_table(admin->router, wire_head_query(&req->head, STR("service")), &text);
     else if (str_eq(path, STR("/status")))
-        answer_status(admin, &text);
+        write_status(admin, &text);
     else if (str_eq(path, STR("/quarantine")))
         inspect_suspects(admin->suspects, loop_now(admin->router->loop), &text);
     else if (str_eq(path, STR("/accounts")))
--- a/gateway/admin.h
+++ b/gateway/admin.h
@@ -25,4 +25,4 @@
 } admin_t;
 
 /* Answers a question to the admin address. */
-void admin_answer(const admin_t *admin, wire_request_t *req);
+void admin_handle_request(const admin_t *admin, wire_request_t *req);
--- a/gateway/deferred.c
+++ b/gateway/deferred.c
@@ -1,7 +1,7 @@
 #include "gateway/deferred.h"
 
 /* The first read ends the turn in which the work was asked for, if a socket's callback did so. */
-enum { READS_NEEDED = 2 };
+enum { POLLS_NEEDED = 2 };
 
 static void
 on_idle(uv_idle_t *idle)
@@ -13,12 +13,12 @@
 on_check(uv_check_t *check)
 {
     deferred_t *deferred = check->data;
-    deferred->reads++;
-    if (deferred->reads < READS_NEEDED)
+    deferred->poll_count++;
+    if (deferred->poll_count < POLLS_NEEDED)
         return;
     uv_check_stop(&deferred->check);
     uv_idle_stop(&deferred->idle);
-    deferred->asked_for = false;
+    deferred->is_pending = false;
     deferred->cb(deferred->ctx);
 }
 
@@ -32,12 +32,12 @@
 }
 
 void
-deferred_ask(deferred_t *deferred)
+deferred_schedule(deferred_t *deferred)
 {
-    if (deferred->asked_for)
+    if (deferred->is_pending)
         return;
-    deferred->asked_for = true;
-    deferred->reads = 0;
+    deferred->is_pending = true;
+    deferred->poll_count = 0;
     uv_check_start(&deferred->check, on_check);
     uv_idle_start(&deferred->idle, on_idle);
 }
--- a/gateway/deferred.h
+++ b/gateway/deferred.h
@@ -16,9 +16,9 @@
 
 typedef struct {
     uv_check_t check;
-    uv_idle_t idle; /* keeps the loop from waiting */
-    unsigned reads; /* of the sockets, since it was asked for */
-    bool asked_for;
+    uv_idle_t idle;      /* keeps the loop from waiting */
+    unsigned poll_count; /* of the sockets, since it was asked for */
+    bool is_pending;
     void (*cb)(void *ctx);
     void *ctx;
 } deferred_t;
@@ -26,4 +26,4 @@
 /* In place. */
 void deferred_init(deferred_t *deferred, uv_loop_t *loop, void (*cb)(void *ctx), void *ctx);
 /* Runs the callback once, however often it is asked for before that. */
-void deferred_ask(deferred_t *deferred);
+void deferred_schedule(deferred_t *deferred);
--- a/gateway/endpoints.c
+++ b/gateway/endpoints.c
@@ -6,7 +6,7 @@
 #include "gateway/membership/directory.h"
 
 static void
-answer_status(wire_request_t *req, int status)
+respond_status(wire_request_t *req, int status)
 {
     wire_respond(req, status, STR(""), STR(""));
 }
@@ -15,25 +15,25 @@
 endpoint_answer_readiness(const directory_port_t *port, bool ready, wire_request_t *req)
 {
     if (!port->is_readiness_query(&req->head))
-        answer_status(req, HTTP_STATUS_NOT_FOUND);
+        respond_status(req, HTTP_STATUS_NOT_FOUND);
     else
-        answer_status(req, ready ? HTTP_STATUS_OK : HTTP_STATUS_SERVICE_UNAVAILABLE);
+        respond_status(req, ready ? HTTP_STATUS_OK : HTTP_STATUS_SERVICE_UNAVAILABLE);
 }
 
 void
 endpoint_answer_directory(const directory_endpoint_t *endpoint, uint64_t now_ms,
                           wire_request_t *req)
 {
-    directory_query_t question;
+    directory_query_t query;
     addr_t addrs[DIRECTORY_MAX];
-    if (!endpoint->port->read_query(&req->head, &question)) {
-        answer_status(req, HTTP_STATUS_NOT_FOUND);
+    if (!endpoint->port->read_query(&req->head, &query)) {
+        respond_status(req, HTTP_STATUS_NOT_FOUND);
         return;
     }
-    const size_t count = directory_pick(endpoint->members, endpoint->topology, question.region,
-                                        question.hall, now_ms, addrs);
+    const size_t count = directory_pick(endpoint->members, endpoint->topology, query.region,
+                                        query.hall, now_ms, addrs);
     if (count == 0) {
-        answer_status(req, HTTP_STATUS_SERVICE_UNAVAILABLE);
+        respond_status(req, HTTP_STATUS_SERVICE_UNAVAILABLE);
         return;
     }
     wire_text_t fields = {0};
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -16,7 +16,7 @@
 on_caller_request(void *ctx, wire_request_t *req)
 {
     gateway_t *gateway = ctx;
-    if (!resume_takes(&gateway->resume, req))
+    if (!resume_queue_request(&gateway->resume, req))
         exchange_start(&gateway->exchanges, req);
 }
 
@@ -32,7 +32,7 @@
 on_directory_request(void *ctx, wire_request_t *req)
 {
     const gateway_t *gateway = ctx;
-    if (resume_is_behind(&gateway->resume)) {
+    if (resume_is_stale(&gateway->resume)) {
         wire_respond(req, HTTP_STATUS_SERVICE_UNAVAILABLE, STR(""), STR(""));
         return;
     }
@@ -60,7 +60,7 @@
         .accounts = &gateway->account_news,
         .callers = gateway->listeners.callers,
     };
-    admin_answer(&admin, req);
+    admin_handle_request(&admin, req);
 }
 
 static void
--- a/gateway/gateway_events.c
+++ b/gateway/gateway_events.c
@@ -10,7 +10,7 @@
 gateway_compare_config(gateway_t *gateway)
 {
     const view_t *view = &gateway->views.items[VIEW_CONFIG];
-    const uint64_t here = gateway->config_update.asked_for ? view->at : 0;
+    const uint64_t here = gateway->config_update.is_pending ? view->at : 0;
     const uint64_t theirs = members_newer_view(&gateway->members, VIEW_CONFIG, view->at,
                                                view->digest, loop_now(gateway->loop));
     gateway->router.catalog.newer_at = theirs > here ? theirs : here;
@@ -59,7 +59,7 @@
     store_watch_view_changed(&gateway->store_watch);
     switch (kind) {
     case VIEW_CONFIG:
-        deferred_ask(&gateway->config_update);
+        deferred_schedule(&gateway->config_update);
         break; /* in force in gateway_apply_config() */
     case VIEW_BACKENDS:
         catalog_apply_backends(catalog, view, store_watch_trouble(&gateway->store_watch));
@@ -122,7 +122,7 @@
     case IRIS__ENVELOPE__BODY_GATEWAY:
         heartbeat_receive(&gateway->heartbeat, message->gateway, loop_now(gateway->loop));
         gateway_compare_config(gateway);
-        resume_heard(&gateway->resume);
+        resume_on_peer_update(&gateway->resume);
         break;
     case IRIS__ENVELOPE__BODY_VIEW_UPDATE:
         view_relay_on_update(&gateway->view_relay, conn, message->view_update);
--- a/gateway/inspect.c
+++ b/gateway/inspect.c
@@ -94,7 +94,7 @@
 
 /* What is known of the newest configuration that is not in force. */
 static void
-print_missing_config(const catalog_t *catalog, wire_text_t *out)
+print_config_problems(const catalog_t *catalog, wire_text_t *out)
 {
     const refused_config_t *refused = &catalog->refused;
     const size_t left_out = catalog->config != NULL ? config_left_out(catalog->config) : 0;
@@ -137,7 +137,7 @@
     wire_text_printf(out, "configuration %s revision %llu\n",
                      config != NULL ? config->version : "-",
                      (unsigned long long)(config != NULL ? config->revision : 0));
-    print_missing_config(&router->catalog, out);
+    print_config_problems(&router->catalog, out);
     if (age_ms == STORE_AGE_NONE)
         wire_text_str(out, STR("store followed by peers\n"));
     else
@@ -154,7 +154,7 @@
 
 /* What the backend tells of itself, and how much was sent there. */
 static void
-print_told(const backend_t *backend, uint64_t now, wire_text_t *out)
+print_backend_notices(const backend_t *backend, uint64_t now, wire_text_t *out)
 {
     wire_text_printf(out, ", sent %llu", (unsigned long long)backend->sends);
     if (backend->limit.named)
@@ -165,7 +165,7 @@
 }
 
 static const char *
-why_not(const backend_t *backend, uint64_t now)
+backend_state_text(const backend_t *backend, uint64_t now)
 {
     if (!backend->listed || backend->departed)
         return "gone";
@@ -204,8 +204,9 @@
             continue;
         wire_text_printf(out, "  %-24s %-16s load %.1f of %u, work %.0f ms, %s",
                          backend->info.id.ptr, backend->info.hall.ptr, backend_load(backend, now),
-                         backend->info.capacity, backend->work_ms, why_not(backend, now));
-        print_told(backend, now, out);
+                         backend->info.capacity, backend->work_ms,
+                         backend_state_text(backend, now));
+        print_backend_notices(backend, now, out);
         wire_text_str(out, STR("\n"));
     }
 }
--- a/gateway/inspect_suspects.c
+++ b/gateway/inspect_suspects.c
@@ -41,11 +41,11 @@
                      "ENDS", "AGE_S", "HELD_S", "REFUSED", "CALLER, METHOD, HOST AND PATH");
     for (size_t i = 0; i < suspects->count; i++) {
         const suspect_t *suspect = suspects->items[i];
-        const bool is_told =
+        const bool is_shown =
             suspect->end_count == 0 || !quarantine_may_resend(suspect_ends(suspect));
-        if (is_told)
+        if (is_shown)
             print_suspect(suspects, suspect, now_ms, out);
-        others += !is_told;
+        others += !is_shown;
     }
     wire_text_printf(out, "with one end, or none of its own: %zu\n", others);
 }
--- a/gateway/listeners.c
+++ b/gateway/listeners.c
@@ -10,8 +10,8 @@
      * not measured. */
     CALLER_CONNECTIONS_MAX = 3000,
     /* Of callers until a configuration gives limits. Chosen, not measured. */
-    FIRST_HEAD_MAX = 16384,
-    FIRST_BODY_MAX = 1 << 20,
+    DEFAULT_HEAD_MAX = 16384,
+    DEFAULT_BODY_MAX = 1 << 20,
     HEAD_TIMEOUT_MS = 3000,
     IDLE_TIMEOUT_MS = 15000,
 };
@@ -24,9 +24,9 @@
     .max_connections = SMALL_CONNECTIONS_MAX,
 };
 
-static const wire_limits_t first_caller_limits = {
-    .max_head = FIRST_HEAD_MAX,
-    .max_body = FIRST_BODY_MAX,
+static const wire_limits_t default_caller_limits = {
+    .max_head = DEFAULT_HEAD_MAX,
+    .max_body = DEFAULT_BODY_MAX,
     .head_timeout_ms = HEAD_TIMEOUT_MS,
     .idle_timeout_ms = IDLE_TIMEOUT_MS,
     .max_connections = CALLER_CONNECTIONS_MAX,
@@ -54,7 +54,7 @@
                const listener_handlers_t *handlers, err_t *err)
 {
     const port_t ports[] = {
-        {&listeners->callers, &settings->callers, handlers->callers, &first_caller_limits},
+        {&listeners->callers, &settings->callers, handlers->callers, &default_caller_limits},
         {&listeners->readiness, &settings->readiness, handlers->readiness, &small_limits},
         {&listeners->directory, &settings->directory, handlers->directory, &small_limits},
         {&listeners->admin, &settings->admin, handlers->admin, &small_limits},
--- a/gateway/resume.c
+++ b/gateway/resume.c
@@ -7,37 +7,37 @@
 #include "base/log.h"
 #include "base/xmalloc.h"
 
-struct resume_waiting {
-    resume_waiting_t *next;
+struct resume_queued {
+    resume_queued_t *next;
     resume_t *resume;
     wire_request_t *req;
 };
 
 static void
-forget(resume_waiting_t *waiting)
+unlink_queued(resume_queued_t *queued)
 {
-    resume_waiting_t **slot = &waiting->resume->waiting;
-    while (*slot != waiting)
+    resume_queued_t **slot = &queued->resume->queue;
+    while (*slot != queued)
         slot = &(*slot)->next;
-    *slot = waiting->next;
-    waiting->resume->count--;
-    free(waiting);
+    *slot = queued->next;
+    queued->resume->count--;
+    free(queued);
 }
 
 static void
-on_caller_gone(void *ctx)
+on_caller_disconnected(void *ctx)
 {
-    forget(ctx);
+    unlink_queued(ctx);
 }
 
 static void
-serve_waiting(resume_t *resume)
+serve_queued(resume_t *resume)
 {
-    resume->waits = false;
+    resume->awaiting_update = false;
     uv_timer_stop(&resume->timer);
-    while (resume->waiting != NULL) {
-        wire_request_t *req = resume->waiting->req;
-        forget(resume->waiting);
+    while (resume->queue != NULL) {
+        wire_request_t *req = resume->queue->req;
+        unlink_queued(resume->queue);
         req->on_gone = NULL;
         req->ctx = NULL;
         resume->conf.serve(resume->conf.ctx, req);
@@ -47,7 +47,7 @@
 static void
 on_timer(uv_timer_t *timer)
 {
-    serve_waiting(timer->data);
+    serve_queued(timer->data);
 }
 
 static void
@@ -58,7 +58,7 @@
     counter_add(counter_get("irisstall_resumed_total", NULL,
                             "Times that the instance had stood still for a second or more."),
                 1);
-    resume->waits = true;
+    resume->awaiting_update = true;
     uv_timer_start(&resume->timer, on_timer, RESUME_WAIT_MS, 0);
     resume->conf.on_resumed(resume->conf.ctx, still_ms);
 }
@@ -67,38 +67,39 @@
 resume_init(resume_t *resume, const resume_conf_t *conf)
 {
     *resume = (resume_t){.conf = *conf};
-    loop_watch_init(&resume->watch, conf->loop, RESUME_STILL_MS, on_resumed, resume);
+    loop_watch_init(&resume->watch, conf->loop, RESUME_THRESHOLD_MS, on_resumed, resume);
     uv_timer_init(conf->loop, &resume->timer);
     resume->timer.data = resume;
 }
 
 bool
-resume_is_behind(const resume_t *resume)
+resume_is_stale(const resume_t *resume)
 {
-    return resume->waits || loop_now(resume->conf.loop) - resume->watch.turn_ms >= RESUME_STILL_MS;
+    return resume->awaiting_update ||
+           loop_now(resume->conf.loop) - resume->watch.turn_ms >= RESUME_THRESHOLD_MS;
 }
 
 bool
-resume_takes(resume_t *resume, wire_request_t *req)
+resume_queue_request(resume_t *resume, wire_request_t *req)
 {
-    if (!resume_is_behind(resume))
+    if (!resume_is_stale(resume))
         return false;
-    resume_waiting_t *waiting = xcalloc(1, sizeof(*waiting));
-    waiting->resume = resume;
-    waiting->req = req;
-    req->on_gone = on_caller_gone;
-    req->ctx = waiting;
-    resume_waiting_t **slot = &resume->waiting;
+    resume_queued_t *queued = xcalloc(1, sizeof(*queued));
+    queued->resume = resume;
+    queued->req = req;
+    req->on_gone = on_caller_disconnected;
+    req->ctx = queued;
+    resume_queued_t **slot = &resume->queue;
     while (*slot != NULL)
         slot = &(*slot)->next;
-    *slot = waiting;
+    *slot = queued;
     resume->count++;
     return true;
 }
 
 void
-resume_heard(resume_t *resume)
+resume_on_peer_update(resume_t *resume)
 {
-    if (resume->waits)
-        serve_waiting(resume);
+    if (resume->awaiting_update)
+        serve_queued(resume);
 }
--- a/gateway/resume.h
+++ b/gateway/resume.h
@@ -16,7 +16,7 @@
 
 enum {
     /* A turn of the loop as long is no busy one: it is made at least five times a second. */
-    RESUME_STILL_MS = 1000,
+    RESUME_THRESHOLD_MS = 1000,
     /* Some round trips to a peer of the own region, and one between regions (70 ms). An instance
      * that is cut off serves after it as it did before. */
     RESUME_WAIT_MS = 100,
@@ -29,22 +29,22 @@
     void *ctx;
 } resume_conf_t;
 
-typedef struct resume_waiting resume_waiting_t;
+typedef struct resume_queued resume_queued_t;
 
 typedef struct {
     resume_conf_t conf;
     loop_watch_t watch;
     uv_timer_t timer;
-    bool waits;                /* for news */
-    resume_waiting_t *waiting; /* in the order of their arrival */
+    bool awaiting_update;   /* for news */
+    resume_queued_t *queue; /* in the order of their arrival */
     size_t count;
 } resume_t;
 
 /* In place. */
 void resume_init(resume_t *resume, const resume_conf_t *conf);
-/* True if the request waits; it is served later unless its caller leaves. */
-bool resume_takes(resume_t *resume, wire_request_t *req);
+/* True if the request awaiting_update; it is served later unless its caller leaves. */
+bool resume_queue_request(resume_t *resume, wire_request_t *req);
 /* True if what is known may be as old as the instance stood still. */
-bool resume_is_behind(const resume_t *resume);
+bool resume_is_stale(const resume_t *resume);
 /* A peer has told its news. */
-void resume_heard(resume_t *resume);
+void resume_on_peer_update(resume_t *resume);
--- a/gateway/settings.c
+++ b/gateway/settings.c
@@ -65,7 +65,7 @@
     TEXT(admin, CYAML_FLAG_OPTIONAL),
     TEXT(store, 0),
     CYAML_FIELD_SEQUENCE("seeds", CYAML_FLAG_POINTER | CYAML_FLAG_OPTIONAL, raw_t, seeds,
-                         &seed_schema, 0, SETTINGS_SEEDS),
+                         &seed_schema, 0, GATEWAY_SEEDS_MAX),
     CYAML_FIELD_SEQUENCE("places", CYAML_FLAG_POINTER, raw_t, places, &place_schema, 1,
                          TOPOLOGY_HALLS_MAX),
     OPTIONAL_NUMBER(link_mbps),
@@ -80,7 +80,7 @@
 static const cyaml_schema_value_t schema = {CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, raw_t, fields)};
 
 static bool
-bad(err_t *err, const char *key, const char *value, const char *expected)
+invalid(err_t *err, const char *key, const char *value, const char *expected)
 {
     err_set(err, ERR_INVALID, "%s: '%s': expected %s", key, value, expected);
     return false;
@@ -89,13 +89,13 @@
 static bool
 read_addr(const char *key, const char *text, addr_t *out, err_t *err)
 {
-    return addr_parse(str_from(text), out) || bad(err, key, text, "IP:PORT");
+    return addr_parse(str_from(text), out) || invalid(err, key, text, "IP:PORT");
 }
 
 static bool
 read_name(const char *key, const char *text, name_t *out, err_t *err)
 {
-    return name_set(out, str_from(text)) || bad(err, key, text, "a name");
+    return name_set(out, str_from(text)) || invalid(err, key, text, "a name");
 }
 
 static bool
@@ -113,10 +113,10 @@
     for (unsigned i = 0; i < raw->places_count; i++) {
         const raw_place_t *place = &raw->places[i];
         if (!topology_add(&out->topology, str_from(place->place), str_from(place->region)))
-            return bad(err, "places", place->place, "a name, and a region's name");
+            return invalid(err, "places", place->place, "a name, and a region's name");
     }
     if (topology_region_of(&out->topology, name_str(&out->hall)) == TOPOLOGY_NO_REGION)
-        return bad(err, "place", out->hall.ptr, "one of places");
+        return invalid(err, "place", out->hall.ptr, "one of places");
     return true;
 }
 
@@ -132,7 +132,7 @@
 }
 
 static bool
-check(const raw_t *raw, gateway_settings_t *out, err_t *err)
+validate(const raw_t *raw, gateway_settings_t *out, err_t *err)
 {
     *out = (gateway_settings_t){
         .link_bytes_per_s = raw->link_mbps * BYTES_PER_MBIT,
@@ -169,7 +169,7 @@
     raw_t *raw = NULL;
     if (!yaml_load(path, &schema, (void **)&raw, err))
         return false;
-    const bool valid = check(raw, out, err);
+    const bool valid = validate(raw, out, err);
     yaml_unload(&schema, raw);
     return valid;
 }
--- a/gateway/settings.h
+++ b/gateway/settings.h
@@ -10,7 +10,7 @@
 #include "base/error.h"
 #include "gateway/membership/topology.h"
 
-enum { SETTINGS_SEEDS = 8 }; /* chosen, not measured */
+enum { GATEWAY_SEEDS_MAX = 8 }; /* chosen, not measured */
 
 typedef struct {
     name_t name;    /* of this instance */
@@ -22,7 +22,7 @@
     addr_t admin;
     bool has_admin;
     addr_t store; /* the platform's */
-    addr_t seeds[SETTINGS_SEEDS];
+    addr_t seeds[GATEWAY_SEEDS_MAX];
     size_t seed_count;
     topology_t topology;
     double link_bytes_per_s; /* of the machine's link, one direction; 0 if not known */
--- a/test/gateway/site.c
+++ b/test/gateway/site.c
@@ -17,9 +17,9 @@
 
 /* What the backend server tells of itself in each answer. */
 static const char *
-said_by(const scripted_t *backend)
+extra_header_lines(const scripted_t *backend)
 {
-    return backend->says != NULL ? backend->says : "";
+    return backend->extra_headers != NULL ? backend->extra_headers : "";
 }
 
 static void
@@ -28,7 +28,7 @@
     char text[512];
     snprintf(text, sizeof(text),
              "HTTP/1.1 200 OK\r\nAttempt-Id: %.*s\r\nServer-Load: 1,0,4\r\n%s%s", STR_ARG(id),
-             said_by(backend), rest);
+             extra_header_lines(backend), rest);
     standin_send(conn, str_from(text));
 }
 
@@ -60,7 +60,7 @@
 }
 
 void
-end_process(scripted_t *backend)
+crash_backend(scripted_t *backend)
 {
     enum { RESTART_MS = 250 };
     backend->site->ends++;
@@ -83,9 +83,9 @@
         backend->arrivals[backend->arrival_count++] = uv_now(&backend->site->loop);
     if (backend->behaviour != DOES_REFUSE && backend->behaviour != DOES_MISDIRECT)
         backend->runs++;
-    if (poison != NULL && !backend->mended &&
+    if (poison != NULL && !backend->survives_poison &&
         memmem(text.ptr, text.len, poison, strlen(poison)) != NULL) {
-        end_process(backend);
+        crash_backend(backend);
         return;
     }
     switch (backend->behaviour) {
@@ -96,7 +96,7 @@
         standin_send(conn, STR("HTTP/1.1 503 Busy\r\nNot-Executed: 1\r\nAttempt-Id: "));
         standin_send(conn, id);
         standin_send(conn, STR("\r\n"));
-        standin_send(conn, str_from(said_by(backend)));
+        standin_send(conn, str_from(extra_header_lines(backend)));
         standin_send(conn, STR("Content-Length: 0\r\n\r\n"));
         break;
     case DOES_MISDIRECT:
@@ -146,8 +146,8 @@
     case DOES_LARGE:
         send_large(backend, conn, id);
         break;
-    case DOES_END:
-        end_process(backend);
+    case DOES_CRASH:
+        crash_backend(backend);
         break;
     }
 }
@@ -161,7 +161,7 @@
         site->store, "servers", backend->id,
         json_pack("{s:s, s:I, s:{s:s, s:s, s:s, s:i}}", "address", addr_format(&addr, text), "born",
                   (json_int_t)backend->born, "info", "service", "svc", "version",
-                  backend->mended ? "v2" : "v1", "zone", "a1", "capacity", 4),
+                  backend->survives_poison ? "v2" : "v1", "zone", "a1", "capacity", 4),
         json_pack("{s:s, s:i, s:i}", "state", state, "callSeq", 1, "coldRemainingMs", 0));
 }
 
@@ -354,7 +354,7 @@
 }
 
 size_t
-all_runs(const site_t *site)
+total_runs(const site_t *site)
 {
     size_t runs = 0;
     for (size_t i = 0; i < BACKENDS_MAX; i++)
@@ -363,7 +363,7 @@
 }
 
 void
-all_do(site_t *site, behaviour_t behaviour)
+set_all_behaviours(site_t *site, behaviour_t behaviour)
 {
     for (size_t i = 0; i < BACKENDS_MAX; i++)
         site->backends[i].behaviour = behaviour;
@@ -379,7 +379,7 @@
 }
 
 size_t
-most_arrivals(const scripted_t *backend, uint64_t from_ms, uint64_t window_ms)
+max_arrivals_in_window(const scripted_t *backend, uint64_t from_ms, uint64_t window_ms)
 {
     size_t most = 0;
     for (size_t i = 0; i < backend->arrival_count; i++) {
@@ -392,7 +392,7 @@
 }
 
 void
-pass(site_t *site, uint64_t ms)
+run_loop_ms(site_t *site, uint64_t ms)
 {
     uv_update_time(&site->loop);
     site->timed_out = false;
@@ -436,7 +436,7 @@
 }
 
 size_t
-ask_for(const instances_t *fleet, size_t instances, uint64_t span_ms)
+send_continuously(const instances_t *fleet, size_t instances, uint64_t span_ms)
 {
     enum { PAUSE_MS = 10 };
     site_t *site = fleet->site;
@@ -445,7 +445,7 @@
     for (unsigned i = 0; uv_now(&site->loop) < until; i++) {
         site->callers = fleet->callers[i % instances];
         not_served += ask_about(site, "GET", "/safe/object", i % OBJECTS).status != 200;
-        pass(site, PAUSE_MS);
+        run_loop_ms(site, PAUSE_MS);
     }
     return not_served;
 }
--- a/test/gateway/site.h
+++ b/test/gateway/site.h
@@ -38,17 +38,17 @@
     DOES_HOLD, /* never answers */
     DOES_FAIL, /* 500 */
     DOES_LARGE,
-    DOES_END, /* its process ends while it runs the request, and starts again some time later */
+    DOES_CRASH, /* its process ends while it runs the request, and starts again some time later */
 } behaviour_t;
 
 typedef struct {
     site_t *site;
     standin_backend_t *standin;
     char id[16];
-    uint64_t born; /* which life its entry tells of */
-    bool mended;   /* it runs another software version, which bears poison requests */
+    uint64_t born;        /* which life its entry tells of */
+    bool survives_poison; /* it runs another software version, which bears poison requests */
     behaviour_t behaviour;
-    const char *says;                /* header lines in each of its answers; NULL: none */
+    const char *extra_headers;       /* header lines in each of its answers; NULL: none */
     uint64_t arrivals[ARRIVALS_MAX]; /* loop times of its first requests */
     size_t arrival_count;
     uv_timer_t restart;
@@ -101,7 +101,7 @@
     } while (0)
 
 /* The backend server's process ends; it starts again some time later. */
-void end_process(scripted_t *backend);
+void crash_backend(scripted_t *backend);
 /* Timer of RUN_UNTIL. */
 void on_guard(uv_timer_t *timer);
 /* Writes the entry of a backend server into the store. */
@@ -125,17 +125,17 @@
 /* The same with a gateway that serves requests. */
 site_t *new_ready_site(size_t backends);
 /* Requests run by all backend servers. */
-size_t all_runs(const site_t *site);
-void all_do(site_t *site, behaviour_t behaviour);
+size_t total_runs(const site_t *site);
+void set_all_behaviours(site_t *site, behaviour_t behaviour);
 /* The backend that gets the object first, made known by a request. */
 scripted_t *first_backend(site_t *site, const char *path);
 
 /* Requests that reached the backend server from one loop time to another. */
 size_t arrivals_between(const scripted_t *backend, uint64_t from_ms, uint64_t to_ms);
 /* The most of them in a window of that length that begins at `from_ms` or later. */
-size_t most_arrivals(const scripted_t *backend, uint64_t from_ms, uint64_t window_ms);
+size_t max_arrivals_in_window(const scripted_t *backend, uint64_t from_ms, uint64_t window_ms);
 /* Runs the loop for so long. */
-void pass(site_t *site, uint64_t ms);
+void run_loop_ms(site_t *site, uint64_t ms);
 
 /* Some instances on one site. */
 typedef struct {
@@ -153,4 +153,4 @@
 reply_t ask_through(const instances_t *fleet, size_t instance, const char *path);
 /* Asks through some of the instances, one after the other, for one of OBJECTS after the other, for
  * so long; returns how many requests were not served. */
-size_t ask_for(const instances_t *fleet, size_t instances, uint64_t span_ms);
+size_t send_continuously(const instances_t *fleet, size_t instances, uint64_t span_ms);
--- a/test/gateway/test_accounts.c
+++ b/test/gateway/test_accounts.c
@@ -115,7 +115,7 @@
         ck_assert_msg(reply.status == 401, "%s: %d", bad[i], reply.status);
         ck_assert_str_eq(reply.retry_after, "");
     }
-    ck_assert_uint_eq(all_runs(site), 0);
+    ck_assert_uint_eq(total_runs(site), 0);
     /* The route is looked for first. */
     ck_assert_int_eq(ask_with(site, "/none/x", "").status, 404);
 }
--- a/test/gateway/test_backend_leaving.c
+++ b/test/gateway/test_backend_leaving.c
@@ -22,14 +22,14 @@
     const instances_t fleet = new_instances(BACKENDS, INSTANCES);
     site_t *site = fleet.site;
     scripted_t *leaving = &site->backends[0];
-    ck_assert_uint_eq(ask_for(&fleet, fleet.count, SETTLE_MS), 0);
-    leaving->says = "Server-Leaving: 1\r\n";
-    ck_assert_uint_eq(ask_for(&fleet, fleet.count, SETTLE_MS), 0);
+    ck_assert_uint_eq(send_continuously(&fleet, fleet.count, SETTLE_MS), 0);
+    leaving->extra_headers = "Server-Leaving: 1\r\n";
+    ck_assert_uint_eq(send_continuously(&fleet, fleet.count, SETTLE_MS), 0);
     const size_t before = leaving->arrival_count;
-    ck_assert_uint_eq(ask_for(&fleet, fleet.count, SPAN_MS), 0);
+    ck_assert_uint_eq(send_continuously(&fleet, fleet.count, SPAN_MS), 0);
     put_backend(site, leaving, "ready"); /* a newer entry of the same life */
     put_config(site, NULL);
-    ck_assert_uint_eq(ask_for(&fleet, fleet.count, SPAN_MS), 0);
+    ck_assert_uint_eq(send_continuously(&fleet, fleet.count, SPAN_MS), 0);
     ck_assert_uint_eq(leaving->arrival_count, before);
 }
 END_TEST
@@ -47,14 +47,14 @@
     site_t *site = fleet.site;
     scripted_t *leaving = &site->backends[0];
     standin_store_set_mode(site->store, STANDIN_STORE_BUSY);
-    leaving->says = "Server-Leaving: 1\r\n";
-    ck_assert_uint_eq(ask_for(&fleet, 1, SETTLE_MS), 0);
+    leaving->extra_headers = "Server-Leaving: 1\r\n";
+    ck_assert_uint_eq(send_continuously(&fleet, 1, SETTLE_MS), 0);
     for (size_t i = 0; i < INSTANCES; i++)
         ck_assert(!backend_is_usable(seen_by(&fleet, i), uv_now(&site->loop)));
     const size_t before = leaving->arrival_count;
     standin_store_forget(site->store); /* a new list is taken */
     standin_store_set_mode(site->store, STANDIN_STORE_SERVES);
-    ck_assert_uint_eq(ask_for(&fleet, fleet.count, SPAN_MS), 0);
+    ck_assert_uint_eq(send_continuously(&fleet, fleet.count, SPAN_MS), 0);
     ck_assert_uint_eq(leaving->arrival_count, before);
 }
 END_TEST
@@ -64,12 +64,12 @@
     instances_t fleet = new_instances(BACKENDS, 1);
     site_t *site = fleet.site;
     scripted_t *leaving = &site->backends[0];
-    leaving->says = "Server-Leaving: 1\r\n";
-    ask_for(&fleet, fleet.count, SETTLE_MS);
+    leaving->extra_headers = "Server-Leaving: 1\r\n";
+    send_continuously(&fleet, fleet.count, SETTLE_MS);
     const size_t before = leaving->arrival_count;
     add_instances(&fleet, 2);
     ck_assert(!backend_is_usable(seen_by(&fleet, 1), uv_now(&site->loop)));
-    ck_assert_uint_eq(ask_for(&fleet, fleet.count, SETTLE_MS), 0);
+    ck_assert_uint_eq(send_continuously(&fleet, fleet.count, SETTLE_MS), 0);
     ck_assert_uint_eq(leaving->arrival_count, before);
 }
 END_TEST
@@ -79,8 +79,8 @@
     instances_t fleet = new_instances(BACKENDS, 1);
     site_t *site = fleet.site;
     scripted_t *leaving = &site->backends[0];
-    leaving->says = "Server-Leaving: 1\r\n";
-    ask_for(&fleet, fleet.count, SETTLE_MS);
+    leaving->extra_headers = "Server-Leaving: 1\r\n";
+    send_continuously(&fleet, fleet.count, SETTLE_MS);
     standin_store_remove(site->store, "servers", leaving->id);
     RUN_UNTIL(site, seen_by(&fleet, 0) == NULL);
     put_backend(site, leaving, "ready");
@@ -95,12 +95,12 @@
     site_t *site = fleet.site;
     scripted_t *leaving = &site->backends[0];
     leaving->born = 1000;
-    leaving->says = "Server-Leaving: 1\r\n";
+    leaving->extra_headers = "Server-Leaving: 1\r\n";
     put_backend(site, leaving, "ready");
     RUN_UNTIL(site, seen_by(&fleet, 0)->info.born == leaving->born);
-    ask_for(&fleet, fleet.count, SETTLE_MS);
+    send_continuously(&fleet, fleet.count, SETTLE_MS);
     ck_assert(seen_by(&fleet, 0)->says_leaving);
-    leaving->says = NULL;
+    leaving->extra_headers = NULL;
     leaving->born = 2000;
     put_backend(site, leaving, "ready");
     RUN_UNTIL(site, seen_by(&fleet, 0)->info.born == leaving->born);
@@ -115,8 +115,8 @@
     instances_t fleet = new_instances(LEAVING, 1);
     site_t *site = fleet.site;
     for (size_t i = 0; i < LEAVING; i++)
-        site->backends[i].says = "Server-Leaving: 1\r\n";
-    ask_for(&fleet, fleet.count, SETTLE_MS);
+        site->backends[i].extra_headers = "Server-Leaving: 1\r\n";
+    send_continuously(&fleet, fleet.count, SETTLE_MS);
     const size_t before = site->backends[0].arrival_count + site->backends[1].arrival_count;
     for (size_t i = 0; i < 10; i++) {
         const uint64_t begun_ms = uv_now(&site->loop);
--- a/test/gateway/test_backend_limit.c
+++ b/test/gateway/test_backend_limit.c
@@ -34,11 +34,11 @@
 {
     const instances_t fleet = new_instances(BACKENDS, INSTANCES);
     scripted_t *limited = &fleet.site->backends[0];
-    limited->says = "Server-Limit: 2.0\r\n";
-    ck_assert_uint_eq(ask_for(&fleet, callers_at, SETTLE_MS), 0);
+    limited->extra_headers = "Server-Limit: 2.0\r\n";
+    ck_assert_uint_eq(send_continuously(&fleet, callers_at, SETTLE_MS), 0);
     const uint64_t from_ms = uv_now(&fleet.site->loop);
-    ck_assert_uint_eq(ask_for(&fleet, callers_at, SPAN_MS), 0);
-    ck_assert_uint_le(most_arrivals(limited, from_ms, WINDOW_MS), WINDOW_MOST);
+    ck_assert_uint_eq(send_continuously(&fleet, callers_at, SPAN_MS), 0);
+    ck_assert_uint_le(max_arrivals_in_window(limited, from_ms, WINDOW_MS), WINDOW_MOST);
     ck_assert_uint_ge(arrivals_between(limited, from_ms, UINT64_MAX), SPAN_LEAST);
 }
 
@@ -60,8 +60,8 @@
 new_limited(size_t instances, const char *says)
 {
     const instances_t fleet = new_instances(BACKENDS, instances);
-    fleet.site->backends[0].says = says;
-    ask_for(&fleet, instances, SETTLE_MS);
+    fleet.site->backends[0].extra_headers = says;
+    send_continuously(&fleet, instances, SETTLE_MS);
     return fleet;
 }
 
@@ -76,8 +76,8 @@
     instances_t fleet = new_limited(INSTANCES, "Server-Limit: 2\r\n");
     for (size_t i = 0; i < INSTANCES; i++)
         ck_assert(seen_by(&fleet, i)->limit.named);
-    fleet.site->backends[0].says = NULL;
-    ask_for(&fleet, 1, SETTLE_MS);
+    fleet.site->backends[0].extra_headers = NULL;
+    send_continuously(&fleet, 1, SETTLE_MS);
     for (size_t i = 0; i < INSTANCES; i++)
         ck_assert(!seen_by(&fleet, i)->limit.named);
 }
@@ -99,12 +99,12 @@
     instances_t fleet = new_instances(BACKENDS, 1);
     scripted_t *backend = &fleet.site->backends[0];
     backend->born = 1000;
-    backend->says = "Server-Limit: 0.1\r\n";
+    backend->extra_headers = "Server-Limit: 0.1\r\n";
     put_backend(fleet.site, backend, "ready");
     RUN_UNTIL(fleet.site, seen_by(&fleet, 0)->info.born == backend->born);
-    ask_for(&fleet, 1, SETTLE_MS);
+    send_continuously(&fleet, 1, SETTLE_MS);
     ck_assert(seen_by(&fleet, 0)->limit.named);
-    backend->says = NULL;
+    backend->extra_headers = NULL;
     backend->born = 2000;
     put_backend(fleet.site, backend, "ready");
     RUN_UNTIL(fleet.site, seen_by(&fleet, 0)->info.born == backend->born);
@@ -118,8 +118,8 @@
     const instances_t fleet = new_instances(2, 2);
     site_t *site = fleet.site;
     for (size_t i = 0; i < 2; i++)
-        site->backends[i].says = "Server-Limit: 0.5\r\n";
-    ask_for(&fleet, 2, SETTLE_MS);
+        site->backends[i].extra_headers = "Server-Limit: 0.5\r\n";
+    send_continuously(&fleet, 2, SETTLE_MS);
     size_t refused = 0;
     reply_t reply;
     for (size_t i = 0; i < ASKED; i++) {
@@ -131,7 +131,7 @@
     }
     ck_assert_uint_ge(refused, ASKED - 4);
     /* Two a second and a half of tokens: the time that was told is true. */
-    pass(site, (uint64_t)(1000 * strtod(reply.retry_after, NULL)));
+    run_loop_ms(site, (uint64_t)(1000 * strtod(reply.retry_after, NULL)));
     ck_assert_int_eq(ask_through(&fleet, (ASKED - 1) % 2, "/safe/x").status, 200);
 }
 END_TEST
@@ -180,7 +180,7 @@
     const size_t before = site->backends[0].arrival_count;
     for (size_t i = 0; i < ROUNDS; i++) {
         send_heartbeat(hub, &own, &gateway_settings(fleet.gateways[0])->peer);
-        ck_assert_uint_eq(ask_for(&fleet, 1, ROUND_MS), 0);
+        ck_assert_uint_eq(send_continuously(&fleet, 1, ROUND_MS), 0);
     }
     ck_assert_uint_ge(asked, 2);
     ck_assert_uint_le(asked, ROUNDS * ROUND_MS / 500 + 2); /* one request in half a second waits */
@@ -197,8 +197,8 @@
     for (size_t i = 1; i < BACKENDS; i++)
         site->backends[i].behaviour = DOES_FAIL;
     const uint64_t from_ms = uv_now(&site->loop);
-    ask_for(&fleet, 2, WINDOW_MS);
-    ck_assert_uint_le(most_arrivals(&site->backends[0], from_ms, WINDOW_MS), WINDOW_MOST);
+    send_continuously(&fleet, 2, WINDOW_MS);
+    ck_assert_uint_le(max_arrivals_in_window(&site->backends[0], from_ms, WINDOW_MS), WINDOW_MOST);
 }
 END_TEST
 
--- a/test/gateway/test_backend_rest.c
+++ b/test/gateway/test_backend_rest.c
@@ -25,10 +25,10 @@
 ask_for_rest(const instances_t *fleet, scripted_t *backend, const char *says)
 {
     backend->behaviour = DOES_REFUSE;
-    backend->says = says;
+    backend->extra_headers = says;
     const size_t before = backend->arrival_count;
     while (backend->arrival_count == before)
-        ask_for(fleet, 1, 20);
+        send_continuously(fleet, 1, 20);
     return backend->arrivals[before];
 }
 
@@ -36,9 +36,9 @@
 {
     const instances_t fleet = new_instances(BACKENDS, 1);
     scripted_t *tired = &fleet.site->backends[0];
-    ask_for(&fleet, 1, KNOWN_MS);
+    send_continuously(&fleet, 1, KNOWN_MS);
     const uint64_t asked_ms = ask_for_rest(&fleet, tired, "Retry-After: 1.5\r\n");
-    ck_assert_uint_eq(ask_for(&fleet, 1, REST_MS), 0);
+    ck_assert_uint_eq(send_continuously(&fleet, 1, REST_MS), 0);
     ck_assert_uint_le(arrivals_between(tired, asked_ms + KNOWN_MS, asked_ms + REST_MS), BORNE);
 }
 END_TEST
@@ -48,15 +48,15 @@
 {
     const instances_t fleet = new_instances(BACKENDS, 1);
     scripted_t *tired = &fleet.site->backends[0];
-    ask_for(&fleet, 1, KNOWN_MS);
+    send_continuously(&fleet, 1, KNOWN_MS);
     const uint64_t asked_ms = ask_for_rest(&fleet, tired, "Retry-After: 0.6\r\n");
     tired->behaviour = DOES_HOLD; /* the one that finds out gets no answer for a while */
-    ask_for(&fleet, 1, 1000);
+    send_continuously(&fleet, 1, 1000);
     ck_assert_uint_eq(arrivals_between(tired, asked_ms + 550, UINT64_MAX), 1);
     tired->behaviour = DOES_ANSWER;
-    tired->says = NULL;
+    tired->extra_headers = NULL;
     const uint64_t from_ms = uv_now(&fleet.site->loop);
-    ask_for(&fleet, 1, 1500);
+    send_continuously(&fleet, 1, 1500);
     ck_assert_uint_ge(arrivals_between(tired, from_ms, UINT64_MAX), 10);
 }
 END_TEST
@@ -72,9 +72,9 @@
     scripted_t *tired = first_backend(site, "/safe/x");
     reply_t replies[TOGETHER];
     tired->behaviour = DOES_REFUSE;
-    tired->says = "Retry-After: 0.3\r\n";
+    tired->extra_headers = "Retry-After: 0.3\r\n";
     ck_assert_int_eq(ask(site, "GET", "/safe/x").status, 200);
-    pass(site, 400);
+    run_loop_ms(site, 400);
     tired->behaviour = DOES_HOLD;
     const size_t before = tired->arrival_count;
     for (size_t i = 0; i < TOGETHER; i++)
@@ -90,10 +90,10 @@
     enum { ASKED = 20 };
     const instances_t fleet = new_instances(2, 1);
     site_t *site = fleet.site;
-    all_do(site, DOES_REFUSE);
-    site->backends[0].says = "Retry-After: 2\r\n";
-    site->backends[1].says = "Retry-After: 1\r\n";
-    ask_for(&fleet, 1, 200);
+    set_all_behaviours(site, DOES_REFUSE);
+    site->backends[0].extra_headers = "Retry-After: 2\r\n";
+    site->backends[1].extra_headers = "Retry-After: 1\r\n";
+    send_continuously(&fleet, 1, 200);
     const size_t before = site->backends[0].arrival_count + site->backends[1].arrival_count;
     for (size_t i = 0; i < ASKED; i++) {
         const uint64_t begun_ms = uv_now(&site->loop);
@@ -106,8 +106,8 @@
     ck_assert_uint_eq(site->backends[0].arrival_count + site->backends[1].arrival_count, before);
     /* The time that was told is true. */
     const reply_t reply = ask_through(&fleet, 0, "/safe/x");
-    all_do(site, DOES_ANSWER);
-    pass(site, (uint64_t)(1000 * strtod(reply.retry_after, NULL)));
+    set_all_behaviours(site, DOES_ANSWER);
+    run_loop_ms(site, (uint64_t)(1000 * strtod(reply.retry_after, NULL)));
     ck_assert_int_eq(ask_through(&fleet, 0, "/safe/x").status, 200);
 }
 END_TEST
@@ -117,7 +117,7 @@
     const instances_t fleet = new_instances(BACKENDS, 1);
     scripted_t *full = &fleet.site->backends[0];
     full->behaviour = DOES_REFUSE;
-    ck_assert_uint_eq(ask_for(&fleet, 1, 1000), 0);
+    ck_assert_uint_eq(send_continuously(&fleet, 1, 1000), 0);
     ck_assert_uint_ge(full->arrival_count, 10);
 }
 END_TEST
--- a/test/gateway/test_deferred.c
+++ b/test/gateway/test_deferred.c
@@ -47,8 +47,8 @@
     rig_t *rig = poll->data;
     take_byte(poll);
     note(rig, '1');
-    deferred_ask(&rig->work);
-    deferred_ask(&rig->work);
+    deferred_schedule(&rig->work);
+    deferred_schedule(&rig->work);
     xassert(write(rig->fds[1][1], "x", 1) == 1);
 }
 
@@ -65,7 +65,7 @@
 on_timer(uv_timer_t *timer)
 {
     rig_t *rig = timer->data;
-    deferred_ask(&rig->work);
+    deferred_schedule(&rig->work);
 }
 
 static rig_t *
@@ -93,13 +93,13 @@
         uv_run(&rig->loop, UV_RUN_NOWAIT);
 }
 
-START_TEST(deferred_work_runs_once_after_what_has_arrived)
+START_TEST(deferred_callback_runs_once_after_pending_input)
 {
     rig_t *rig = new_rig();
     xassert(write(rig->fds[0][1], "x", 1) == 1);
     run(rig, 3);
     ck_assert_str_eq(rig->order, "12w");
-    ck_assert(!rig->work.asked_for);
+    ck_assert(!rig->work.is_pending);
     /* Asked for once more, it runs once more. */
     xassert(write(rig->fds[0][1], "x", 1) == 1);
     run(rig, 6);
@@ -107,7 +107,7 @@
 }
 END_TEST
 
-START_TEST(deferred_work_does_not_wait_for_anything_to_arrive)
+START_TEST(deferred_callback_runs_without_input)
 {
     rig_t *rig = new_rig();
     uv_timer_t timer;
@@ -124,8 +124,8 @@
 {
     Suite *suite = suite_create("gateway: deferred work");
     TCase *tests = tcase_create("deferred");
-    tcase_add_test(tests, deferred_work_runs_once_after_what_has_arrived);
-    tcase_add_test(tests, deferred_work_does_not_wait_for_anything_to_arrive);
+    tcase_add_test(tests, deferred_callback_runs_once_after_pending_input);
+    tcase_add_test(tests, deferred_callback_runs_without_input);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_endpoints.c
+++ b/test/gateway/test_endpoints.c
@@ -53,12 +53,12 @@
     wire_pool_free(pool);
 }
 
-START_TEST(pages_tell_what_backends_told_of_themselves)
+START_TEST(admin_pages_show_limits_announced_by_backends)
 {
     static page_t page;
     site_t *site = new_ready_site(1);
     scripted_t *backend = &site->backends[0];
-    backend->says = "Server-Limit: 0.5\r\n";
+    backend->extra_headers = "Server-Limit: 0.5\r\n";
     ask(site, "GET", "/safe/x");
     RUN_UNTIL(site, ask(site, "GET", "/safe/x").status == 503);
     read_page(site, "/explain?host=h.example&path=/safe/x&object=7", &page);
@@ -73,11 +73,12 @@
 }
 END_TEST
 
-START_TEST(what_a_backend_gives_in_no_usable_form_is_counted)
+START_TEST(malformed_backend_notices_are_counted)
 {
     static page_t page;
     site_t *site = new_ready_site(1);
-    site->backends[0].says = "Server-Limit: few\r\nServer-Leaving: 1\r\nServer-Leaving: 1\r\n";
+    site->backends[0].extra_headers =
+        "Server-Limit: few\r\nServer-Leaving: 1\r\nServer-Leaving: 1\r\n";
     for (size_t i = 0; i < 3; i++)
         ck_assert_int_eq(ask(site, "GET", "/safe/x").status, 200);
     read_page(site, "/metrics", &page);
@@ -86,7 +87,7 @@
 }
 END_TEST
 
-START_TEST(metrics_tell_what_is_believed)
+START_TEST(metrics_report_current_state)
 {
     static page_t page;
     site_t *site = new_ready_site(3);
@@ -117,7 +118,7 @@
 
 /* The store accepts what the decoder does not: the instance goes on with what it has, tells it, and
  * denies no route that the newer configuration may have. */
-START_TEST(a_configuration_that_is_not_usable_is_told)
+START_TEST(unusable_configuration_is_reported)
 {
     static page_t page;
     site_t *site = new_ready_site(1);
@@ -144,7 +145,7 @@
 }
 END_TEST
 
-START_TEST(a_route_that_cannot_be_read_is_not_denied)
+START_TEST(request_for_an_unreadable_route_gets_503)
 {
     static page_t page;
     site_t *site = new_ready_site(1);
@@ -165,7 +166,7 @@
 }
 END_TEST
 
-START_TEST(a_planned_stop_cuts_nothing)
+START_TEST(planned_stop_aborts_no_request)
 {
     site_t *site = new_ready_site(1);
     const gateway_settings_t *settings = gateway_settings(site->gateway);
@@ -202,12 +203,12 @@
     Suite *suite = suite_create("gateway: endpoints");
     TCase *tests = tcase_create("endpoints");
     tcase_set_timeout(tests, 120);
-    tcase_add_test(tests, pages_tell_what_backends_told_of_themselves);
-    tcase_add_test(tests, what_a_backend_gives_in_no_usable_form_is_counted);
-    tcase_add_test(tests, metrics_tell_what_is_believed);
-    tcase_add_test(tests, a_configuration_that_is_not_usable_is_told);
-    tcase_add_test(tests, a_route_that_cannot_be_read_is_not_denied);
-    tcase_add_test(tests, a_planned_stop_cuts_nothing);
+    tcase_add_test(tests, admin_pages_show_limits_announced_by_backends);
+    tcase_add_test(tests, malformed_backend_notices_are_counted);
+    tcase_add_test(tests, metrics_report_current_state);
+    tcase_add_test(tests, unusable_configuration_is_reported);
+    tcase_add_test(tests, request_for_an_unreadable_route_gets_503);
+    tcase_add_test(tests, planned_stop_aborts_no_request);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_lateness.c
+++ b/test/gateway/test_lateness.c
@@ -3,7 +3,7 @@
 #include "gateway/path/lateness.h"
 #include "test/suites.h"
 
-START_TEST(each_late_answer_has_one_cause)
+START_TEST(late_response_has_exactly_one_cause)
 {
     const lateness_input_t in_time = {.objective_ms = 250,
                                       .elapsed_ms = 120,
@@ -44,7 +44,7 @@
 }
 END_TEST
 
-START_TEST(without_an_objective_nothing_is_late)
+START_TEST(route_without_objective_is_never_late)
 {
     const lateness_input_t input = {.elapsed_ms = 5000, .attempt_ms = 5000, .prior_wait_ms = 400};
     ck_assert_int_eq(lateness_cause(&input), LATE_NONE);
@@ -56,8 +56,8 @@
 {
     Suite *suite = suite_create("gateway: lateness");
     TCase *tcase = tcase_create("lateness");
-    tcase_add_test(tcase, each_late_answer_has_one_cause);
-    tcase_add_test(tcase, without_an_objective_nothing_is_late);
+    tcase_add_test(tcase, late_response_has_exactly_one_cause);
+    tcase_add_test(tcase, route_without_objective_is_never_late);
     suite_add_tcase(suite, tcase);
     return suite;
 }
--- a/test/gateway/test_lifetime.c
+++ b/test/gateway/test_lifetime.c
@@ -4,7 +4,7 @@
 #include "gateway/policy/shutdown.h"
 #include "test/suites.h"
 
-START_TEST(a_removal_takes_effect_at_once_but_for_trouble_of_the_store)
+START_TEST(removal_is_delayed_only_during_store_trouble)
 {
     static const struct {
         removal_input_t input;
@@ -32,7 +32,7 @@
 }
 END_TEST
 
-START_TEST(a_stopping_instance_ends_when_nothing_is_left_or_before_the_kill)
+START_TEST(shutdown_ends_when_idle_or_before_the_grace_period)
 {
     static const struct {
         shutdown_input_t input;
@@ -61,8 +61,8 @@
 {
     Suite *suite = suite_create("gateway: lifetime");
     TCase *tests = tcase_create("lifetime");
-    tcase_add_test(tests, a_removal_takes_effect_at_once_but_for_trouble_of_the_store);
-    tcase_add_test(tests, a_stopping_instance_ends_when_nothing_is_left_or_before_the_kill);
+    tcase_add_test(tests, removal_is_delayed_only_during_store_trouble);
+    tcase_add_test(tests, shutdown_ends_when_idle_or_before_the_grace_period);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_listener.c
+++ b/test/gateway/test_listener.c
@@ -96,7 +96,7 @@
 }
 
 static void
-run_for(host_t *host, uint64_t ms)
+run_loop_ms(host_t *host, uint64_t ms)
 {
     host->timer_fired = false;
     uv_timer_start(&host->timer, on_timer, ms, 0);
@@ -224,7 +224,7 @@
     caller_t caller = answered_caller(host);
     const wire_limits_t shorter = limits_with_idle(SHORT_IDLE_MS);
     wire_listener_set_limits(host->listener, &shorter);
-    run_for(host, 2 * SWEEP_MS);
+    run_loop_ms(host, 2 * SWEEP_MS);
     ck_assert(!has_ended(&caller));
     send_request(&caller);
     RUN_UNTIL(host, has_answers(&caller, 2));
@@ -270,7 +270,7 @@
     caller_t caller = connect_caller(host, SMALL_BUFFER);
     ck_assert_int_gt(send(caller.fd, request, strlen(request), MSG_NOSIGNAL), 0);
     RUN_UNTIL(host, host->requests == 1);
-    run_for(host, PAUSE_MS);
+    run_loop_ms(host, PAUSE_MS);
     RUN_UNTIL(host, has_ended(&caller));
     ck_assert_uint_gt(caller.total, LARGE);
     ck_assert(!caller.reset);
@@ -397,7 +397,7 @@
     wire_listener_drain(host->listener);
     wire_listener_stop_accepting(host->listener);
     wire_listener_close_idle(host->listener, LONG_IDLE_MS);
-    run_for(host, SWEEP_MS);
+    run_loop_ms(host, SWEEP_MS);
     ck_assert(!has_ended(&caller));
     send_request(&caller);
     RUN_UNTIL(host, has_answers(&caller, 1));
@@ -411,7 +411,7 @@
     host_t *host = new_host(LONG_IDLE_MS);
     caller_t caller = answered_caller(host);
     wire_listener_close_idle(host->listener, SHORT_IDLE_MS);
-    run_for(host, 2 * SWEEP_MS);
+    run_loop_ms(host, 2 * SWEEP_MS);
     ck_assert(has_ended(&caller));
     ck_assert_uint_eq(wire_listener_connections(host->listener), 0);
     close(caller.fd);
@@ -421,7 +421,7 @@
 START_TEST(a_connection_that_waits_to_be_accepted_is_served_though_the_port_closes)
 {
     host_t *host = new_host(LONG_IDLE_MS);
-    run_for(host, 1);
+    run_loop_ms(host, 1);
     caller_t caller = connect_caller(host, 0);
     send_request(&caller);
     wire_listener_drain(host->listener);
--- a/test/gateway/test_quarantine.c
+++ b/test/gateway/test_quarantine.c
@@ -38,7 +38,7 @@
     unsigned served = 0;
     for (unsigned i = 0; i < TRIES; i++) {
         ask_through(&fleet, i % INSTANCES, "/safe/poison");
-        pass(fleet.site, TRY_EVERY_MS);
+        run_loop_ms(fleet.site, TRY_EVERY_MS);
         served += ask_through(&fleet, i % INSTANCES, "/safe/other").status == 200;
     }
     ck_assert_uint_le(fleet.site->ends, ENDS_MAX);
@@ -52,7 +52,7 @@
 {
     fleet->site->poison = path;
     ask_through(fleet, 0, path);
-    pass(fleet->site, TRY_EVERY_MS); /* the news has its way */
+    run_loop_ms(fleet->site, TRY_EVERY_MS); /* the news has its way */
     RUN_UNTIL(fleet->site, ask_through(fleet, 0, path).status == 503);
     RUN_UNTIL(fleet->site, ask_through(fleet, 1, path).status == 503);
 }
@@ -71,7 +71,7 @@
     ck_assert_int_eq(ask_through(&fleet, 1, "/safe/other").status, 200);
     fleet.site->poison = NULL;
     /* When the backend servers bear it, the next trial frees it at both. */
-    pass(fleet.site, (uint64_t)(1000 * strtod(reply.retry_after, NULL)) + 100);
+    run_loop_ms(fleet.site, (uint64_t)(1000 * strtod(reply.retry_after, NULL)) + 100);
     ck_assert_int_eq(ask_through(&fleet, 0, "/safe/poison").status, 200);
     RUN_UNTIL(fleet.site, ask_through(&fleet, 1, "/safe/poison").status == 200);
     ck_assert_uint_eq(fleet.site->ends, ends);
@@ -92,13 +92,13 @@
 {
     enum { BROKEN = 6 };
     site_t *site = new_ready_site(BACKENDS);
-    all_do(site, DOES_RESET);
+    set_all_behaviours(site, DOES_RESET);
     for (int i = 0; i < BROKEN; i++) {
         ask(site, "GET", "/safe/x");
-        pass(site, TRY_EVERY_MS);
+        run_loop_ms(site, TRY_EVERY_MS);
     }
-    all_do(site, DOES_ANSWER);
-    pass(site, 1000); /* the breakers close */
+    set_all_behaviours(site, DOES_ANSWER);
+    run_loop_ms(site, 1000); /* the breakers close */
     ck_assert_int_eq(ask(site, "GET", "/safe/x").status, 200);
 }
 END_TEST
@@ -110,7 +110,7 @@
     fleet.site->poison = "/safe/poison";
     for (unsigned i = 0; i < TRIES / 2; i++) {
         ask_through(&fleet, i % INSTANCES, "/safe/poison");
-        pass(fleet.site, TRY_EVERY_MS);
+        run_loop_ms(fleet.site, TRY_EVERY_MS);
     }
     ck_assert_uint_le(fleet.site->ends, ENDS_MAX);
 }
@@ -152,7 +152,7 @@
     for (size_t i = 0; i < LARGE_TRIES; i++) {
         site->callers = callers[i];
         ask(site, "POST", "/once/poison");
-        pass(site, TRY_EVERY_MS);
+        run_loop_ms(site, TRY_EVERY_MS);
     }
     ck_assert_uint_ge(site->ends, 2);
     ck_assert_uint_le(site->ends, 2 + CROSSED);
@@ -184,9 +184,9 @@
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
     fleet.site->poison = "abcde";
     post_at(&fleet, 0, "/once/x", whole);
-    pass(fleet.site, TRY_EVERY_MS);
+    run_loop_ms(fleet.site, TRY_EVERY_MS);
     post_at(&fleet, 1, "/once/x", chunked);
-    pass(fleet.site, TRY_EVERY_MS);
+    run_loop_ms(fleet.site, TRY_EVERY_MS);
     ck_assert_uint_eq(fleet.site->ends, 2);
     ck_assert_int_eq(post_at(&fleet, 0, "/once/x", chunked).status, 503);
     ck_assert_int_eq(post_at(&fleet, 1, "/once/x", whole).status, 503);
@@ -206,10 +206,10 @@
             snprintf(path, sizeof(path), "/safe/poison-%u", i);
             ask_through(&fleet, (round + i) % INSTANCES, path);
         }
-        pass(fleet.site, TRY_EVERY_MS);
+        run_loop_ms(fleet.site, TRY_EVERY_MS);
     }
     ck_assert_uint_le(fleet.site->ends, FIVE * ENDS_EACH);
-    pass(fleet.site, 1000); /* those that ended are back */
+    run_loop_ms(fleet.site, 1000); /* those that ended are back */
     ck_assert_int_eq(ask_through(&fleet, 0, "/safe/other").status, 200);
     ck_assert_int_eq(ask_through(&fleet, 1, "/safe/other").status, 200);
 }
@@ -235,7 +235,7 @@
     site_t *site = fleet.site;
     for (unsigned i = 0; i < TIMES; i++) {
         reply_t reply;
-        all_do(site, DOES_HOLD);
+        set_all_behaviours(site, DOES_HOLD);
         for (size_t k = 0; k < BACKENDS; k++)
             site->backends[k].runs = 0;
         site->callers = fleet.callers[i % INSTANCES];
@@ -243,11 +243,11 @@
              "GET /safe/there HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: there\r\n"
              "Affinity-Key: 7\r\nDeadline-Ms: 800\r\n\r\n");
         RUN_UNTIL(site, running_backend(site) != NULL);
-        all_do(site, DOES_ANSWER);
-        end_process(running_backend(site));
+        set_all_behaviours(site, DOES_ANSWER);
+        crash_backend(running_backend(site));
         RUN_UNTIL(site, reply.done);
         ck_assert_int_eq(reply.status, 200);
-        pass(site, 400); /* the one that ended is back */
+        run_loop_ms(site, 400); /* the one that ended is back */
     }
 }
 END_TEST
@@ -256,21 +256,22 @@
 {
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
     make_held(&fleet, "/safe/poison");
-    scripted_t *mended = &fleet.site->backends[0];
-    RUN_UNTIL(fleet.site, !uv_is_active((uv_handle_t *)&mended->restart));
+    scripted_t *survives_poison = &fleet.site->backends[0];
+    RUN_UNTIL(fleet.site, !uv_is_active((uv_handle_t *)&survives_poison->restart));
     const size_t ends = fleet.site->ends;
-    mended->mended = true;
-    put_backend(fleet.site, mended, "ready");
-    pass(fleet.site, LIST_MS);
+    survives_poison->survives_poison = true;
+    put_backend(fleet.site, survives_poison, "ready");
+    run_loop_ms(fleet.site, LIST_MS);
     for (unsigned i = 0; i < TRIES; i++) {
         ck_assert_int_eq(ask_through(&fleet, i % INSTANCES, "/safe/poison").status, 200);
-        pass(fleet.site, TRY_EVERY_MS / 5);
+        run_loop_ms(fleet.site, TRY_EVERY_MS / 5);
     }
-    pass(fleet.site, quarantine_term_ms(2)); /* the term is over, and nothing is tried elsewhere */
+    run_loop_ms(fleet.site,
+                quarantine_term_ms(2)); /* the term is over, and nothing is tried elsewhere */
     ck_assert_int_eq(ask_through(&fleet, 0, "/safe/poison").status, 200);
     /* All of them went to the version that bears it, and none to those that would have ended. */
     ck_assert_uint_eq(fleet.site->ends, ends);
-    ck_assert_uint_ge(mended->runs, TRIES);
+    ck_assert_uint_ge(survives_poison->runs, TRIES);
 }
 END_TEST
 
--- a/test/gateway/test_request_path.c
+++ b/test/gateway/test_request_path.c
@@ -8,14 +8,14 @@
 #include "test/suites.h"
 #include "wire/fetch.h"
 
-START_TEST(a_request_goes_through)
+START_TEST(request_is_forwarded)
 {
     site_t *site = new_ready_site(2);
     const reply_t reply = ask(site, "GET", "/safe/x");
     ck_assert_int_eq(reply.status, 200);
     ck_assert(reply.whole);
     ck_assert_str_eq(reply.body, "hello");
-    ck_assert_uint_eq(all_runs(site), 1);
+    ck_assert_uint_eq(total_runs(site), 1);
     ck_assert(!site->backends[0].wrong_instance && !site->backends[1].wrong_instance);
     const uint64_t told = site->backends[0].last_deadline | site->backends[1].last_deadline;
     ck_assert(told > 0 && told < 801);
@@ -23,7 +23,7 @@
 }
 END_TEST
 
-START_TEST(without_a_configuration_come_back_later)
+START_TEST(requests_before_the_first_configuration_get_503)
 {
     site_t *site = new_site(1);
     standin_store_set_mode(site->store, STANDIN_STORE_BUSY);
@@ -36,39 +36,39 @@
 }
 END_TEST
 
-START_TEST(what_did_not_run_goes_to_another)
+START_TEST(unexecuted_request_is_sent_to_another_backend)
 {
     site_t *site = new_ready_site(2);
     scripted_t *first = first_backend(site, "/once/x");
     static const behaviour_t not_run[] = {DOES_REFUSE, DOES_MISDIRECT};
     for (size_t i = 0; i < ALEN(not_run); i++) {
-        const size_t before = all_runs(site);
+        const size_t before = total_runs(site);
         first->behaviour = not_run[i];
         ck_assert_int_eq(ask(site, "POST", "/once/x").status, 200);
-        ck_assert_uint_eq(all_runs(site), before + 1);
+        ck_assert_uint_eq(total_runs(site), before + 1);
     }
-    all_do(site, DOES_REFUSE);
+    set_all_behaviours(site, DOES_REFUSE);
     const reply_t reply = ask(site, "POST", "/once/x");
     ck_assert_int_eq(reply.status, 503);
     ck_assert_str_ne(reply.retry_after, "");
 }
 END_TEST
 
-START_TEST(what_may_have_run_is_not_sent_again)
+START_TEST(non_repeatable_request_is_not_resent_if_it_may_have_run)
 {
     static const behaviour_t unknown[] = {DOES_RESET, DOES_CUT, DOES_GARBAGE, DOES_UNSIGNED,
                                           DOES_CUT_UNFRAMED};
     for (size_t i = 0; i < ALEN(unknown); i++) {
         site_t *site = new_ready_site(2);
-        all_do(site, unknown[i]);
+        set_all_behaviours(site, unknown[i]);
         const reply_t reply = ask(site, "POST", "/once/x");
         ck_assert_int_eq(reply.status, 502);
-        ck_assert_uint_eq(all_runs(site), 1);
+        ck_assert_uint_eq(total_runs(site), 1);
     }
 }
 END_TEST
 
-START_TEST(what_may_be_repeated_is_sent_again)
+START_TEST(repeatable_request_is_retried)
 {
     static const behaviour_t failing[] = {DOES_RESET,    DOES_CUT,  DOES_GARBAGE,
                                           DOES_UNSIGNED, DOES_FAIL, DOES_CUT_UNFRAMED};
@@ -80,15 +80,15 @@
         ck_assert(reply.whole);
         ck_assert_str_eq(reply.body, "hello");
         /* Never more backends than the route allows. */
-        all_do(site, failing[i]);
-        const size_t before = all_runs(site);
+        set_all_behaviours(site, failing[i]);
+        const size_t before = total_runs(site);
         ck_assert_int_ne(ask(site, "GET", "/safe/x").status, 200);
-        ck_assert_uint_le(all_runs(site), before + 2);
+        ck_assert_uint_le(total_runs(site), before + 2);
     }
 }
 END_TEST
 
-START_TEST(a_backend_that_loses_answers_is_left)
+START_TEST(backend_that_never_responds_is_avoided)
 {
     /* It takes requests and answers none: others serve its objects after some of that. */
     enum { LOST = 6 };
@@ -101,7 +101,7 @@
 }
 END_TEST
 
-START_TEST(answers_never_mix)
+START_TEST(responses_are_never_mixed_up)
 {
     site_t *site = new_ready_site(1);
     static const behaviour_t spoiling[] = {DOES_SURPLUS, DOES_LATE, DOES_ANSWER};
@@ -114,7 +114,7 @@
 }
 END_TEST
 
-START_TEST(an_answer_without_length_is_passed_on_without)
+START_TEST(response_without_length_is_forwarded_without)
 {
     site_t *site = new_ready_site(1);
     site->backends[0].behaviour = DOES_UNFRAMED;
@@ -125,7 +125,7 @@
 }
 END_TEST
 
-START_TEST(a_large_answer_is_streamed_whole)
+START_TEST(large_response_is_streamed_completely)
 {
     site_t *site = new_ready_site(1);
     site->backends[0].behaviour = DOES_LARGE;
@@ -135,7 +135,7 @@
 }
 END_TEST
 
-START_TEST(a_silent_backend_ends_at_the_time_limit)
+START_TEST(silent_backend_times_out_at_the_deadline)
 {
     site_t *site = new_ready_site(1);
     site->backends[0].behaviour = DOES_HOLD;
@@ -145,12 +145,12 @@
 END_TEST
 
 /* Found on the users' bench: the work under way was broken off though nobody else could take it. */
-START_TEST(an_overdue_attempt_goes_on_if_no_other_backend_takes_it)
+START_TEST(overdue_attempt_continues_without_an_alternative)
 {
     enum { HELD = 6 }; /* the failures of the first make the backend avoided */
     site_t *site = new_ready_site(1);
     reply_t replies[HELD];
-    all_do(site, DOES_HOLD);
+    set_all_behaviours(site, DOES_HOLD);
     for (size_t i = 0; i < HELD; i++) {
         char request[256];
         snprintf(request, sizeof(request),
@@ -168,20 +168,20 @@
 END_TEST
 
 /* Found by reading: without an objective and before any answer, an attempt was overdue at once. */
-START_TEST(nothing_is_overdue_before_it_is_known_what_is_usual)
+START_TEST(attempt_is_not_overdue_before_latency_is_known)
 {
     site_t *site = new_ready_site(2);
-    all_do(site, DOES_FAIL);
+    set_all_behaviours(site, DOES_FAIL);
     while (!gateway_avoids(site->gateway, STR("i-0")) || !gateway_avoids(site->gateway, STR("i-1")))
         ask(site, "POST", "/once/x");
-    all_do(site, DOES_HOLD);
-    const size_t before = all_runs(site);
+    set_all_behaviours(site, DOES_HOLD);
+    const size_t before = total_runs(site);
     ck_assert_int_eq(ask(site, "GET", "/unaimed/x").status, 504);
-    ck_assert_uint_eq(all_runs(site), before + 1);
+    ck_assert_uint_eq(total_runs(site), before + 1);
 }
 END_TEST
 
-START_TEST(a_caller_that_leaves_ends_the_work)
+START_TEST(caller_disconnect_cancels_the_attempt)
 {
     site_t *site = new_ready_site(1);
     site->backends[0].behaviour = DOES_HOLD;
@@ -195,7 +195,7 @@
 }
 END_TEST
 
-START_TEST(bad_input_is_refused)
+START_TEST(malformed_requests_are_rejected)
 {
     static const struct {
         const char *request;
@@ -228,7 +228,7 @@
 END_TEST
 
 /* The configuration bounds the bytes of a head, not the number of its fields. */
-START_TEST(a_head_of_many_fields_goes_through)
+START_TEST(request_with_many_header_fields_is_forwarded)
 {
     enum { FIELDS = 150 };
     site_t *site = new_ready_site(1);
@@ -246,7 +246,7 @@
 }
 END_TEST
 
-START_TEST(a_body_in_chunks_arrives_with_a_length)
+START_TEST(chunked_body_is_forwarded_with_content_length)
 {
     site_t *site = new_ready_site(1);
     reply_t reply;
@@ -260,7 +260,7 @@
 END_TEST
 
 /* It starts again under its id while requests are under way there: whether they ran is unknown. */
-START_TEST(a_restart_under_the_same_id_makes_what_is_under_way_unknown)
+START_TEST(restart_under_the_same_id_leaves_pending_requests_unknown)
 {
     site_t *site = new_ready_site(1);
     scripted_t *backend = &site->backends[0];
@@ -287,23 +287,23 @@
     Suite *suite = suite_create("gateway: request path");
     TCase *tests = tcase_create("request path");
     tcase_set_timeout(tests, 120);
-    tcase_add_test(tests, a_request_goes_through);
-    tcase_add_test(tests, without_a_configuration_come_back_later);
-    tcase_add_test(tests, what_did_not_run_goes_to_another);
-    tcase_add_test(tests, what_may_have_run_is_not_sent_again);
-    tcase_add_test(tests, what_may_be_repeated_is_sent_again);
-    tcase_add_test(tests, a_backend_that_loses_answers_is_left);
-    tcase_add_test(tests, answers_never_mix);
-    tcase_add_test(tests, an_answer_without_length_is_passed_on_without);
-    tcase_add_test(tests, a_large_answer_is_streamed_whole);
-    tcase_add_test(tests, a_silent_backend_ends_at_the_time_limit);
-    tcase_add_test(tests, an_overdue_attempt_goes_on_if_no_other_backend_takes_it);
-    tcase_add_test(tests, nothing_is_overdue_before_it_is_known_what_is_usual);
-    tcase_add_test(tests, a_caller_that_leaves_ends_the_work);
-    tcase_add_test(tests, bad_input_is_refused);
-    tcase_add_test(tests, a_head_of_many_fields_goes_through);
-    tcase_add_test(tests, a_restart_under_the_same_id_makes_what_is_under_way_unknown);
-    tcase_add_test(tests, a_body_in_chunks_arrives_with_a_length);
+    tcase_add_test(tests, request_is_forwarded);
+    tcase_add_test(tests, requests_before_the_first_configuration_get_503);
+    tcase_add_test(tests, unexecuted_request_is_sent_to_another_backend);
+    tcase_add_test(tests, non_repeatable_request_is_not_resent_if_it_may_have_run);
+    tcase_add_test(tests, repeatable_request_is_retried);
+    tcase_add_test(tests, backend_that_never_responds_is_avoided);
+    tcase_add_test(tests, responses_are_never_mixed_up);
+    tcase_add_test(tests, response_without_length_is_forwarded_without);
+    tcase_add_test(tests, large_response_is_streamed_completely);
+    tcase_add_test(tests, silent_backend_times_out_at_the_deadline);
+    tcase_add_test(tests, overdue_attempt_continues_without_an_alternative);
+    tcase_add_test(tests, attempt_is_not_overdue_before_latency_is_known);
+    tcase_add_test(tests, caller_disconnect_cancels_the_attempt);
+    tcase_add_test(tests, malformed_requests_are_rejected);
+    tcase_add_test(tests, request_with_many_header_fields_is_forwarded);
+    tcase_add_test(tests, restart_under_the_same_id_leaves_pending_requests_unknown);
+    tcase_add_test(tests, chunked_body_is_forwarded_with_content_length);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_store.c
+++ b/test/gateway/test_store.c
@@ -68,10 +68,10 @@
     standin_store_remove(site->store, "servers", "i-0");
     standin_store_put(site->store, "evacuations", "a1", json_object(), NULL);
     RUN_UNTIL(site, ask(site, "GET", "/safe/x").status == 503);
-    const size_t before = all_runs(site);
+    const size_t before = total_runs(site);
     for (int i = 0; i < 5; i++)
         ck_assert_int_eq(ask(site, "POST", "/once/x").status, 503);
-    ck_assert_uint_eq(all_runs(site), before);
+    ck_assert_uint_eq(total_runs(site), before);
     /* Taken back: cold for a while, then served again. */
     standin_store_remove(site->store, "evacuations", "a1");
     ck_assert(gets(site, "/safe/x", 200)); /* asked once: the next one would be paced */
--- a/test/gateway/test_suspension.c
+++ b/test/gateway/test_suspension.c
@@ -23,7 +23,7 @@
     return uv_now(&site->loop);
 }
 
-START_TEST(loop_time_counts_a_suspension)
+START_TEST(loop_time_includes_suspension)
 {
     uv_loop_t loop;
     uv_loop_init(&loop);
@@ -46,7 +46,7 @@
     *(uint64_t *)ctx = still_ms;
 }
 
-START_TEST(timers_run_when_they_are_due)
+START_TEST(timers_due_during_suspension_fire_on_resume)
 {
     uv_loop_t loop;
     uv_timer_t turn, soon, late;
@@ -78,11 +78,11 @@
 }
 END_TEST
 
-START_TEST(a_deadline_that_passed_meanwhile_has_passed)
+START_TEST(deadline_passed_during_suspension_is_enforced)
 {
     site_t *site = new_ready_site(1);
     reply_t reply;
-    all_do(site, DOES_HOLD);
+    set_all_behaviours(site, DOES_HOLD);
     call(site, &reply,
          "GET /safe/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: s-1\r\nDeadline-Ms: 800\r\n\r\n");
     RUN_UNTIL(site, site->backends[0].runs > 0);
@@ -94,7 +94,7 @@
 }
 END_TEST
 
-START_TEST(a_connection_that_rested_meanwhile_is_not_used)
+START_TEST(connection_idle_during_suspension_is_not_reused)
 {
     site_t *site = new_ready_site(1);
     ck_assert_int_eq(ask(site, "POST", "/once/x").status, 200);
@@ -107,11 +107,11 @@
 }
 END_TEST
 
-START_TEST(a_planned_stop_ends_within_its_grace)
+START_TEST(planned_stop_keeps_its_grace_period_across_suspension)
 {
     site_t *site = new_ready_site(1);
     reply_t reply;
-    all_do(site, DOES_HOLD);
+    set_all_behaviours(site, DOES_HOLD);
     call(site, &reply, "GET /unaimed/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: s-2\r\n\r\n");
     RUN_UNTIL(site, site->backends[0].runs > 0);
     gateway_stop(site->gateway);
@@ -122,7 +122,7 @@
 }
 END_TEST
 
-START_TEST(requests_that_come_first_wait_for_news_and_are_served)
+START_TEST(requests_after_resume_wait_for_peer_updates)
 {
     site_t *site = new_ready_site(1);
     reply_t replies[3];
@@ -139,7 +139,7 @@
 }
 END_TEST
 
-START_TEST(a_caller_that_leaves_while_its_request_waits_is_forgotten)
+START_TEST(queued_request_is_dropped_when_its_caller_disconnects)
 {
     site_t *site = new_ready_site(1);
     reply_t reply;
@@ -150,11 +150,11 @@
         uv_run(&site->loop, UV_RUN_NOWAIT);
     wire_call_cancel(left);
     ck_assert_int_eq(ask(site, "GET", "/safe/y").status, 200);
-    ck_assert_uint_le(all_runs(site), 2);
+    ck_assert_uint_le(total_runs(site), 2);
 }
 END_TEST
 
-START_TEST(peers_are_not_taken_for_living_by_what_they_said_before)
+START_TEST(peers_last_heard_before_suspension_are_not_alive)
 {
     uv_loop_t loop;
     uv_loop_init(&loop);
@@ -165,7 +165,7 @@
 }
 END_TEST
 
-START_TEST(peers_tell_at_once_what_was_missed)
+START_TEST(peers_send_missed_updates_after_resume)
 {
     site_t *site = new_ready_site(2);
     gateway_t *first = site->gateway;
@@ -183,7 +183,7 @@
 END_TEST
 
 /* What was learned of a backend server is as old as the time that passed. */
-START_TEST(a_backend_server_is_judged_by_the_time_that_passed)
+START_TEST(backend_state_ages_during_suspension)
 {
     uv_loop_t loop;
     uv_loop_init(&loop);
@@ -210,7 +210,7 @@
 }
 END_TEST
 
-START_TEST(views_are_told_with_the_age_that_they_have)
+START_TEST(view_age_includes_suspension)
 {
     uv_loop_t loop;
     uv_loop_init(&loop);
@@ -221,7 +221,7 @@
 }
 END_TEST
 
-START_TEST(the_window_of_a_retry_budget_passes)
+START_TEST(retry_budget_window_includes_suspension)
 {
     uv_loop_t loop;
     uv_loop_init(&loop);
@@ -236,7 +236,7 @@
 }
 END_TEST
 
-START_TEST(a_held_request_is_held_by_the_time_that_passed)
+START_TEST(quarantine_time_includes_suspension)
 {
     uv_loop_t loop;
     uv_loop_init(&loop);
@@ -261,19 +261,19 @@
     Suite *suite = suite_create("gateway_suspension");
     TCase *tc = tcase_create("suspension");
     tcase_set_timeout(tc, 60);
-    tcase_add_test(tc, loop_time_counts_a_suspension);
-    tcase_add_test(tc, timers_run_when_they_are_due);
-    tcase_add_test(tc, a_deadline_that_passed_meanwhile_has_passed);
-    tcase_add_test(tc, a_connection_that_rested_meanwhile_is_not_used);
-    tcase_add_test(tc, a_planned_stop_ends_within_its_grace);
-    tcase_add_test(tc, requests_that_come_first_wait_for_news_and_are_served);
-    tcase_add_test(tc, a_caller_that_leaves_while_its_request_waits_is_forgotten);
-    tcase_add_test(tc, peers_are_not_taken_for_living_by_what_they_said_before);
-    tcase_add_test(tc, a_backend_server_is_judged_by_the_time_that_passed);
-    tcase_add_test(tc, views_are_told_with_the_age_that_they_have);
-    tcase_add_test(tc, the_window_of_a_retry_budget_passes);
-    tcase_add_test(tc, a_held_request_is_held_by_the_time_that_passed);
-    tcase_add_test(tc, peers_tell_at_once_what_was_missed);
+    tcase_add_test(tc, loop_time_includes_suspension);
+    tcase_add_test(tc, timers_due_during_suspension_fire_on_resume);
+    tcase_add_test(tc, deadline_passed_during_suspension_is_enforced);
+    tcase_add_test(tc, connection_idle_during_suspension_is_not_reused);
+    tcase_add_test(tc, planned_stop_keeps_its_grace_period_across_suspension);
+    tcase_add_test(tc, requests_after_resume_wait_for_peer_updates);
+    tcase_add_test(tc, queued_request_is_dropped_when_its_caller_disconnects);
+    tcase_add_test(tc, peers_last_heard_before_suspension_are_not_alive);
+    tcase_add_test(tc, backend_state_ages_during_suspension);
+    tcase_add_test(tc, view_age_includes_suspension);
+    tcase_add_test(tc, retry_budget_window_includes_suspension);
+    tcase_add_test(tc, quarantine_time_includes_suspension);
+    tcase_add_test(tc, peers_send_missed_updates_after_resume);
     suite_add_tcase(suite, tc);
     return suite;
 }
