--- a/gateway/path/access_log.c
+++ b/gateway/path/access_log.c
@@ -6,8 +6,7 @@
 #include "base/log.h"
 #include "gateway/path/access_log.h"
 
-/* Of the requests that went without trouble, of those that were only late, and of those that were
- * held, one in this many is logged. Chosen, not measured. */
+/* Sampling: one request in this many is logged if it succeeded, was only late, or was held. */
 enum { LOG_EVERY = 64, LOG_LATE_EVERY = 16, LOG_HELD_EVERY = 16, LABELS_MAX = 64 };
 
 static void
@@ -31,7 +30,7 @@
                 1);
 }
 
-/* True if the request is one of those that are not logged. */
+/* Returns true if sampling drops the request from the log. */
 static bool
 is_sampled_out(const access_record_t *access)
 {
--- a/gateway/path/attempt.c
+++ b/gateway/path/attempt.c
@@ -11,17 +11,17 @@
 #include "gateway/policy/slow.h"
 
 enum {
-    /* Several round trips between regions (70 ms on the users' sites). Chosen, not measured. */
+    /* several round trips between regions */
     CONNECT_TIMEOUT_MS = 400,
-    /* Age of a kept connection that may be used: backends close idle ones after a time. A request
-     * that may not be repeated needs a fresher one, since its attempt may be lost with the
-     * connection. Chosen, not measured. */
+    /* Maximum idle time of a reused connection; backends close idle connections after a while.
+     * Requests that must not be repeated need a fresher one, because a connection closed by the
+     * backend leaves their outcome unknown. */
     IDLE_MAX_REPEATABLE_MS = 6000,
     IDLE_MAX_ONCE_MS = 3000,
-    /* Bytes of an answer that are collected before it is passed on. Chosen: above the small answers
-     * of the users' sites, below their downloads (90 kB). */
+    /* Responses up to this size are buffered before they are forwarded, so that a broken one can be
+     * replaced; larger ones are streamed. */
     BUFFER_MAX = 16384,
-    /* Unsent bytes to a caller above which the answer is not read on. Chosen, not measured. */
+    /* Reading the response pauses above this number of unsent bytes to the caller. */
     BACKLOG_MAX = 262144,
 };
 
@@ -55,7 +55,7 @@
         attempt->slots_full = load.waiting > 0;
         backend_report_load(attempt->backend, &load, loop_now(attempt->loop));
     }
-    /* One at another backend's address speaks of itself, bytes of no answer of nobody. */
+    /* Notices of a misdirected or invalid response are not about this backend. */
     if (attempt->verdict == VERDICT_RESPONSE || attempt->verdict == VERDICT_NOT_RUN) {
         backend_said_t said;
         attempt->dialect->notice(head, &said);
@@ -110,7 +110,7 @@
     return slow_counts_as_failure(&input);
 }
 
-/* The outcome of a complete answer. */
+/* Returns the outcome of a complete response. */
 static attempt_outcome_t
 classify_complete(attempt_t *attempt, backend_t *backend)
 {
@@ -134,7 +134,7 @@
     BUG("verdict");
 }
 
-/* The outcome of an attempt that broke. */
+/* Returns the outcome of an attempt whose call failed. */
 static attempt_outcome_t
 classify_failure(attempt_t *attempt, backend_t *backend, const wire_end_t *end)
 {
--- a/gateway/path/attempt.h
+++ b/gateway/path/attempt.h
@@ -1,12 +1,13 @@
 /*
- * Attempt: one request sent to one backend server, and its answer.
+ * Attempt: one request sent to one backend server, and its response.
  *
- * Its outcome says what is certain: ATTEMPT_NOT_RUN only if no byte went out or the backend says
- * so. Small answers are collected before they are passed on, so that a broken one can still be
- * replaced; large ones are streamed under back-pressure. Reports what it sees to the backend: load,
- * breaker, health.
- * Owns the call to the backend and the buffered answer. Relies on wire/client.h for the connection,
- * on the dialect for the platform's header fields, on slow.h for what counts as slow.
+ * The outcome is ATTEMPT_NOT_RUN only if no byte was sent or the backend says that it did not
+ * execute the request. Small responses are buffered before they are forwarded, so that a broken
+ * one can still be replaced; large ones are streamed with back-pressure. Reports load, failures
+ * and health to the backend's state.
+ * Owns the call to the backend and the buffered response. Relies on wire/client.h for the
+ * connection, on the dialect for the platform's header fields, on slow.h for the threshold of
+ * slow attempts.
  */
 #pragma once
 
@@ -16,17 +17,17 @@
 #include "wire/listener.h"
 
 typedef enum {
-    ATTEMPT_ANSWERED,  /* the backend's answer is complete */
-    ATTEMPT_NOT_RUN,   /* the backend has certainly not run the request */
-    ATTEMPT_UNKNOWN,   /* it may have run, and nothing was passed on */
-    ATTEMPT_TRUNCATED, /* the answer broke off while it was being passed on */
+    ATTEMPT_ANSWERED,  /* the response is complete */
+    ATTEMPT_NOT_RUN,   /* the backend certainly did not execute the request */
+    ATTEMPT_UNKNOWN,   /* it may have been executed; nothing was forwarded */
+    ATTEMPT_TRUNCATED, /* the response broke off while it was being forwarded */
 } attempt_outcome_t;
 
 typedef struct attempt attempt_t;
 
-/* The attempt has ended and its outcome is recorded at the backend. */
+/* Called when the attempt has ended; its outcome is already recorded for the backend. */
 typedef void (*attempt_cb_t)(void *ctx, attempt_outcome_t outcome);
-/* The head of an answer of the backend has come. `ran`: it answers a request that it ran. */
+/* Called with the notices in the head of a response. `ran`: the backend executed the request. */
 typedef void (*attempt_notice_cb_t)(void *ctx, const backend_said_t *said, bool ran);
 
 struct attempt {
@@ -34,26 +35,26 @@
     const dialect_port_t *dialect;
     wire_request_t *req;
     str_t id;
-    str_t account;        /* name of the client account, empty for none */
+    str_t account;        /* name of the client account, empty if none */
     uint64_t fingerprint; /* of the request, for the log */
     attempt_notice_cb_t on_notice;
     attempt_cb_t cb;
     void *ctx;
-    backend_t *backend; /* NULL while no attempt is under way */
+    backend_t *backend; /* NULL while no attempt is in progress */
     wire_call_t *call;
     uint64_t sent_ms;
-    bool sent;   /* bytes may have gone out; kept after the end */
-    bool closed; /* its connection was closed or reset by the other side; kept after the end */
-    bool queued; /* the backend's slots were all taken when it was sent */
+    bool sent;   /* bytes may have been sent; kept after the end */
+    bool closed; /* the other side closed or reset the connection; kept after the end */
+    bool queued; /* all slots of the backend were in use when it was sent */
     bool head_seen;
     bool streaming;
     bool paused;
-    bool slots_full;  /* the answer told that all slots of the backend were taken */
-    bool recorded;    /* its outcome is in the backend's health already */
-    uint32_t slow_ms; /* from slow_after_ms(); 0 for no limit */
+    bool slots_full;  /* the response reported that all slots of the backend are in use */
+    bool recorded;    /* the outcome is recorded in the backend's health */
+    uint32_t slow_ms; /* from slow_after_ms(); 0 if no limit */
     response_verdict_t verdict;
     int status;
-    size_t received; /* bytes of answers, of all attempts */
+    size_t received; /* bytes of responses, over all attempts */
     int64_t length;
     wire_text_t fields;
     wire_text_t body;
@@ -61,25 +62,25 @@
 
 typedef struct {
     backend_t *backend;
-    uint32_t left_ms; /* time that the backend has for its answer */
-    bool repeatable;  /* else a fresher connection is used */
-    bool queued;      /* all of the backend's slots are taken */
-    bool is_retry;    /* another attempt of the request has failed: what took its backend may have
-                      taken this one, so its kept connections are looked at first */
-    uint32_t slow_ms; /* from slow_after_ms(); 0 for no limit */
+    uint32_t left_ms; /* time left for the response */
+    bool repeatable;  /* otherwise only a recently used connection is taken */
+    bool queued;      /* all slots of the backend are in use */
+    bool is_retry; /* an earlier attempt failed: kept connections are checked before use, since the
+                      cause may affect this backend too */
+    uint32_t slow_ms; /* from slow_after_ms(); 0 if no limit */
 } attempt_conf_t;
 
-/* Sends the request. The fields from `loop` to `ctx` must be set; the attempt may be used again
- * after it has ended. The exchange keeps a reference to the backend. */
+/* Sends the request. The fields from `loop` to `ctx` must be set. The struct can be reused once the
+ * attempt has ended. The exchange must hold a reference to the backend. */
 void attempt_start(attempt_t *attempt, const attempt_conf_t *conf);
-/* Records the outcome in the backend's health; at most once per attempt. */
+/* Records the outcome in the backend's health, at most once per attempt. */
 void attempt_record(attempt_t *attempt, bool failed);
-/* True if it is so slow that it counts as a failure of the backend. */
+/* Returns true if the attempt is slow enough to count as a failure of the backend. */
 bool attempt_is_slow(const attempt_t *attempt);
-/* Breaks it off without the callback and closes the connection. */
+/* Cancels the attempt without calling the callback and closes the connection. */
 void attempt_cancel(attempt_t *attempt);
-/* The caller has read what was buffered for it: the answer is read on. */
+/* Resumes reading the response after the caller has drained its send buffer. */
 void attempt_on_caller_drained(attempt_t *attempt);
-/* Passes the complete answer on, or the rest of it; the request is gone afterwards. */
+/* Forwards the response or the rest of it; the request must not be used afterwards. */
 void attempt_forward_response(attempt_t *attempt);
 void attempt_free(attempt_t *attempt);
--- a/gateway/path/completion.c
+++ b/gateway/path/completion.c
@@ -6,7 +6,7 @@
 #include "gateway/path/access_log.h"
 #include "gateway/path/completion.h"
 
-/* Why the answer that is about to be passed on is late. */
+/* Returns why the response about to be forwarded is late. */
 static late_cause_t
 late_cause(const exchange_t *ex, const backend_t *backend)
 {
--- a/gateway/path/dispatch.c
+++ b/gateway/path/dispatch.c
@@ -53,7 +53,8 @@
 
 /* ---- permits ---- */
 
-/* The owner of the backend has answered; it may have told meanwhile that it gets nothing more. */
+/* Answer of the permit owner. The backend may have become unusable since the permit was requested.
+ * */
 static void
 on_permit(void *ctx, bool given)
 {
@@ -79,7 +80,7 @@
     dispatch_next(ex);
 }
 
-/* Every send to a backend that names a limit takes a permit, also a second one of a request. */
+/* Every attempt, retries included, on a backend with a declared limit needs a permit. */
 static permit_verdict_t
 get_permit(exchange_t *ex, backend_t *backend)
 {
@@ -126,7 +127,7 @@
                             ex->attempt.sent_ms);
 }
 
-/* ---- what becomes of an attempt ---- */
+/* ---- results of attempts ---- */
 
 retry_input_t
 dispatch_retry_input(const exchange_t *ex)
@@ -179,8 +180,8 @@
     completion_refuse(ex, OUTCOME_NOT_RUN);
 }
 
-/* A whole answer but for a failure shows that the backend server has borne the request. Its 504 may
- * have come before the run did. */
+/* A complete response other than a 5xx shows that the backend server survived the request. A 504
+ * may come before the run has finished. */
 static void
 record_finished(const exchange_t *ex)
 {
@@ -189,8 +190,8 @@
                           exchange_last_tried(ex)->info.version, exchange_now_ms(ex));
 }
 
-/* The connection of the last attempt was closed by the other side. The query is left out of the
- * text: it may hold what is not for logs. */
+/* Starts a check whether the backend crashed when its connection was closed. The query string is
+ * left out of the text because it may contain sensitive data. */
 static void
 record_connection_closed(const exchange_t *ex)
 {
--- a/gateway/path/end_check.c
+++ b/gateway/path/end_check.c
@@ -11,12 +11,12 @@
 #include "wire/reach.h"
 
 enum {
-    /* A process that ends closes its sockets one after the other, within milliseconds as a rule:
-     * the sooner it is known, the fewer tries come meanwhile. One that still listens is asked once
-     * more. Chosen. */
+    /* A terminating process closes its sockets within milliseconds of each other; an early result
+     * limits the retries of the request in the meantime. A backend that still accepts is
+     * probed once more. */
     FIRST_PROBE_DELAY_MS = 5,
     SECOND_PROBE_DELAY_MS = 50,
-    /* Several round trips between regions (70 ms on the users' sites). Chosen, not measured. */
+    /* several round trips between regions */
     PROBE_TIMEOUT_MS = 400,
 };
 
--- a/gateway/path/end_check.h
+++ b/gateway/path/end_check.h
@@ -1,13 +1,13 @@
 /*
- * End check: whether a backend server ended when the connection of a request to it broke.
+ * End check: tests whether a backend server process ended when a connection to it broke.
  *
- * A connection may be closed or reset while its backend server goes on (an idle time that ran out,
- * a fault on the way, an answer broken off). A new connection tells the two apart: where it is
- * refused, the process has gone. One that is not answered tells nothing: a link may be cut.
- * One check a backend server at a time, for all requests that broke there.
+ * A connection can be closed or reset while the backend keeps running (idle timeout, network
+ * fault, aborted response). A new connection attempt distinguishes the cases: refused means that
+ * the process is gone; a timeout is inconclusive because the link may be down. At most one check
+ * per backend runs at a time and serves all requests whose connections broke.
  *
- * Keeps a reference to the backend meanwhile. Relies on wire/reach.h for the connection; the
- * outcome goes to state/suspects.h.
+ * Holds a reference to the backend during the check. Relies on wire/reach.h for the connection;
+ * state/suspects.h receives the outcome.
  */
 #pragma once
 
@@ -16,8 +16,8 @@
 #include "gateway/state/backend.h"
 #include "gateway/state/suspects.h"
 
-/* The connection of a request to the backend was closed or reset before its answer was whole. An
- * end that was told ahead (the backend leaves, or is not in the list) is not looked at. `text` is
- * for operators. */
+/* Starts a check after a connection to the backend was closed or reset before the response was
+ * complete. Announced ends (backend leaving or not listed) are ignored. `text` describes the
+ * request to operators. */
 void end_check_begin(uv_loop_t *loop, suspects_t *suspects, backend_t *backend,
                      const fingerprint_t *fingerprint, str_t text);
--- a/gateway/path/exchange.c
+++ b/gateway/path/exchange.c
@@ -5,8 +5,8 @@
 #include "gateway/path/time_limit.h"
 #include "gateway/policy/deadline.h"
 
-/* Software versions of a service that are looked at: two while a new one comes in, and some that
- * lag. Chosen. */
+/* Software versions of a service that are considered: two during a rollout, and some that lag
+ * behind. */
 enum { VERSIONS_MAX = 4 };
 
 static uint64_t
@@ -60,7 +60,7 @@
     attempt_on_caller_drained(&((exchange_t *)ctx)->attempt);
 }
 
-/* What becomes of the request; sets the software version that it must go to, if there is one. */
+/* Decides whether the request is quarantined; restricts it to a software version if needed. */
 static quarantine_t
 decide_quarantine(exchange_t *ex)
 {
@@ -82,7 +82,7 @@
     return by_version[picked];
 }
 
-/* Whose request it is. False if it was refused. */
+/* Finds the client account of the request. Returns false if the request was refused. */
 static bool
 authenticate_account(exchange_t *ex)
 {
@@ -110,7 +110,7 @@
     return true;
 }
 
-/* Within the limit of its account. False if it was refused. */
+/* Checks the limit of the client account. Returns false if the request was refused. */
 static bool
 admit_account_use(exchange_t *ex)
 {
--- a/gateway/path/exchange.h
+++ b/gateway/path/exchange.h
@@ -1,11 +1,12 @@
 /*
- * Exchange: one request of a caller's, from its arrival to its answer.
+ * Exchange: one request of a caller, from its arrival to its response.
  *
- * Asks for each decision and carries it out: route and service, backend server (router.h), attempt
- * (attempt.h), retry (policy/retry.h), final answer (policy/final_answer.h). Keeps the one fact
- * that everything else depends on: whether an attempt may have run the request. Owns the request
- * from the listener until it is answered, aborted, or its caller has left. Relies on the router for
- * what is known, on the dialect for the platform's header fields. Its files: exchange_state.h.
+ * Obtains each decision and carries it out: route and service, backend server (router.h),
+ * attempt (attempt.h), retry (policy/retry.h), final response (policy/final_answer.h). Tracks
+ * whether an attempt may have executed the request. Owns the request from the listener until it
+ * is answered, aborted or its caller disconnects. Relies on the router for the known state and
+ * on the dialect for the platform's header fields. exchange_state.h lists the files of this
+ * module.
  */
 #pragma once
 
@@ -22,8 +23,8 @@
     suspects_t *suspects;
     account_uses_t *account_uses;
     permit_exchange_t *permits;
-    size_t active; /* exchanges under way */
+    size_t active; /* exchanges in progress */
 } exchanges_t;
 
-/* Takes a request over; always answers it unless the caller leaves. */
+/* Takes ownership of a request and answers it unless the caller disconnects first. */
 void exchange_start(exchanges_t *exchanges, wire_request_t *req);
--- a/gateway/path/exchange_state.c
+++ b/gateway/path/exchange_state.c
@@ -48,7 +48,7 @@
     free(ex);
 }
 
-/* What reached no backend server that runs it does not count against the account's limit. */
+/* A request that no backend executed does not count against the account's limit. */
 static void
 release_account_use(exchange_t *ex)
 {
--- a/gateway/path/exchange_state.h
+++ b/gateway/path/exchange_state.h
@@ -1,10 +1,9 @@
 /*
- * What an exchange holds, its lifetime and its timer. Inside of the exchange.
+ * State, lifetime and timer of an exchange. Internal to the exchange modules.
  *
- * Its files call each other in this direction only: exchange.c (the beginning), time_limit.c (what
- * happens when time runs out), dispatch.c (attempts, one after the other), completion.c (the
- * answer), and this. What comes from outside - a timer, an attempt's end, a caller that leaves -
- * enters by a callback that one of them has set.
+ * Calls go in one direction only: exchange.c (start), time_limit.c (timeouts), dispatch.c
+ * (attempts), completion.c (final response), exchange_state.c. External events such as timers,
+ * finished attempts and disconnecting callers enter through callbacks that these files register.
  *
  * Owns exchange_t with its references to the configuration and to backend servers.
  */
@@ -20,51 +19,49 @@
 struct exchange {
     exchanges_t *owner;
     wire_request_t *req;
-    config_t *config; /* the version that decides this request, from its arrival to its answer */
+    config_t *config; /* configuration used for this request until its response */
     const config_route_t *route;
-    const config_account_t *account; /* of the configuration; NULL: nobody's */
+    const config_account_t *account; /* client account in `config`; NULL if none */
     key_verdict_t key;
-    account_use_t *account_use; /* of the account's limit; NULL without one */
-    bool account_admitted;      /* the request counts against it */
-    uint32_t possible_runs;     /* attempts that ran it, or may have */
+    account_use_t *account_use; /* usage counter of the account's limit; NULL without a limit */
+    bool account_admitted;      /* the request counts against the account's limit */
+    uint32_t possible_runs;     /* attempts that executed the request or may have */
     service_t *service;
     request_metadata_t metadata;
     fingerprint_t fingerprint;
     uint64_t object;         /* from router_object() */
-    uint64_t deadline_at_ms; /* loop time at which it is given up */
-    uint64_t
-        overdue_at_ms;     /* loop time at which the attempt is overdue; 0: it is, or none is set */
-    uint64_t resend_at_ms; /* loop time at which it is sent again; 0: no such time is set */
-    uint64_t permit_wait_until_ms; /* loop time until which a permit is waited for */
-    uv_timer_t timer;              /* for the earliest of these */
+    uint64_t deadline_at_ms; /* loop time of the deadline */
+    uint64_t overdue_at_ms;  /* loop time at which the attempt is overdue; 0 if passed or unset */
+    uint64_t resend_at_ms;   /* loop time of the next resend; 0 if not set */
+    uint64_t permit_wait_until_ms; /* loop time at which waiting for a permit ends */
+    uv_timer_t timer;              /* fires at the earliest of these times */
     uv_timer_cb on_timer;          /* set by exchange.c */
     attempt_t attempt;
-    permit_wait_t *permit;                /* the request waits for a permit; NULL: it does not */
-    backend_t *permit_backend;            /* that backend, a reference */
-    unsigned permits_refused;             /* to the request */
-    choice_t choice;                      /* the last one; its backend may be gone */
-    retry_verdict_t retry;                /* of the last decision to retry */
-    backend_t *tried[RETRY_BACKENDS_MAX]; /* in this order, a reference to each */
+    permit_wait_t *permit;                /* pending permit request; NULL if none */
+    backend_t *permit_backend;            /* backend of the pending permit, a counted reference */
+    unsigned permits_refused;             /* permits refused for this request */
+    choice_t choice;                      /* last choice; its backend may no longer exist */
+    retry_verdict_t retry;                /* result of the last retry decision */
+    backend_t *tried[RETRY_BACKENDS_MAX]; /* in order; counted references */
     size_t tried_count;
-    uint32_t sends;       /* ended attempts of which bytes may have gone out */
-    double prior_wait_ms; /* that the caller has lost before this request, by refusals */
-    bool may_have_run;    /* one of them ended without certainty */
-    uint64_t
-        required_version; /* a trial goes only to backends of that software version; 0: to any */
-    bool is_trial;        /* it is sent to learn whether it ends backend servers */
+    uint32_t sends;            /* finished attempts that may have sent bytes */
+    double prior_wait_ms;      /* time the caller spent on refused requests before this one */
+    bool may_have_run;         /* an attempt ended with unknown outcome */
+    uint64_t required_version; /* use only backends of this software version; 0 for any */
+    bool is_trial;             /* sent to test whether the request still crashes backend servers */
     bool done;
 };
 
-/* Loop time. */
+/* Returns the current loop time. */
 uint64_t exchange_now_ms(const exchange_t *ex);
-/* Time until the exchange is given up. */
+/* Returns the time left until the deadline. */
 uint64_t exchange_remaining_ms(const exchange_t *ex);
-/* The backend server of the latest attempt, NULL before the first one. */
+/* Returns the backend server of the latest attempt, NULL before the first one. */
 backend_t *exchange_last_tried(const exchange_t *ex);
-/* Sets the timer for what comes first: the attempt is overdue, the request is sent again, or the
- * exchange is given up. */
+/* Arms the timer for the earliest event: attempt overdue, resend, end of the permit wait or
+ * deadline. */
 void exchange_set_timer(exchange_t *ex);
-/* Whatever was asked for as to a permit is not wanted any more; `late`: no answer came in time. */
+/* Cancels a pending permit request. `late` is true if no answer came in time. */
 void exchange_cancel_permit(exchange_t *ex, bool late);
-/* The exchange has ended; it is freed once its timer is closed. */
+/* Releases a completed exchange; it is freed once its timer is closed. */
 void exchange_release(exchange_t *ex);
--- a/gateway/path/fingerprint.c
+++ b/gateway/path/fingerprint.c
@@ -1,9 +1,9 @@
 #include "gateway/path/fingerprint.h"
 
-/* Any number; the same on every instance. */
+/* arbitrary, but must be the same on every instance */
 enum { FINGERPRINT_SEED = 97 };
 
-/* The address without its port. */
+/* Returns the bytes of the address without its port. */
 static str_t
 address_bytes(const addr_t *addr)
 {
--- a/gateway/path/fingerprint.h
+++ b/gateway/path/fingerprint.h
@@ -1,18 +1,17 @@
 /*
- * Fingerprints of a request: the same for each try of it, at any instance.
+ * Request fingerprints: identical for every retry of a request, on every instance.
  *
- * That of the request is made of the caller, the method, the host, the target and the bytes of the
- * body; that of its family of the path and the body alone. Neither the id of a try nor the framing
- * of the body is in them, nor any other field: callers change these from try to try. A caller is
- * known by the IP address of its connection, without the port, which is another one for each
- * connection. Callers behind one address that send the same bytes are taken for one: while one of
- * them is held the others are refused too, until a run finishes. A caller that changes its address
- * is taken for several: its request is held as a family.
+ * The request fingerprint covers caller, method, host, target and body bytes; the family
+ * fingerprint covers only path and body. The attempt id, body framing and other header fields
+ * are excluded because callers change them between retries. A caller is identified by its IP
+ * address without port. Callers behind one address that send identical bytes share a
+ * fingerprint: while one is held, the others are refused too, until a run completes. A caller
+ * that changes its address gets a new request fingerprint but keeps the family fingerprint.
  *
- * 64 bits: among the 512 that the table of suspects holds at most and 10^9 others, a wrong match
- * has a chance of 3 in 10^8.
+ * With 64 bits, the chance of a false match between the at most 512 suspects and 10^9 other
+ * requests is 3 in 10^8.
  *
- * Pure: no state, no clock.
+ * Pure functions without state or clock.
  */
 #pragma once
 
--- a/gateway/path/lateness.c
+++ b/gateway/path/lateness.c
@@ -1,10 +1,10 @@
 #include "gateway/path/lateness.h"
 
-/* Times the usual time above which a run counts as one without the object in memory: between the 1
- * of a run with it and the 3.3 of one without it on the users' sites. Chosen, not measured. */
+/* A run that takes longer than this multiple of the typical time counts as an object cache miss. A
+ * cache miss typically takes 3.3 times as long as a hit. */
 #define COLD_OBJECT_FACTOR 1.8
 
-/* The cause that lies in the last attempt. */
+/* Finds the cause within the last attempt. */
 static late_cause_t
 last_attempt_cause(const lateness_input_t *input)
 {
--- a/gateway/path/lateness.h
+++ b/gateway/path/lateness.h
@@ -1,41 +1,41 @@
 /*
- * Lateness: why a request was answered later than its route's latency objective.
+ * Lateness: classifies why a response missed the latency objective of its route.
  *
- * Names the cause that took most of the time, for the metric irisstall_late_total and the log; no
- * decision depends on it. Times are those seen at this instance: the way to the caller is not in
- * them, but the time that a caller lost with an earlier refusal is.
+ * Reports the cause that contributed most, for the metric irisstall_late_total and the access
+ * log; no decision depends on it. Times are measured at this instance: network time to the
+ * caller is not included, time the caller spent on an earlier refused request is.
  *
- * Pure: no state, no clock.
+ * Pure functions without state or clock.
  */
 #pragma once
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* The label `cause` of irisstall_late_total, and `late` in the log. */
+/* Written as the label `cause` of irisstall_late_total and as `late` in the log. */
 typedef enum {
-    LATE_NONE,            /* answered within the objective, or the route has none */
-    LATE_PRIOR_REFUSAL,   /* the caller had been refused and came back */
-    LATE_EARLIER_ATTEMPT, /* another attempt had taken the time */
-    LATE_QUEUED,          /* it was sent although all slots of its backend were taken */
-    LATE_LOAD_UNKNOWN,    /* all slots were taken when it was answered, not when it was sent */
+    LATE_NONE,            /* within the objective, or the route has none */
+    LATE_PRIOR_REFUSAL,   /* the caller retried after an earlier refusal */
+    LATE_EARLIER_ATTEMPT, /* an earlier attempt used up the time */
+    LATE_QUEUED,          /* sent although all slots of its backend were in use */
+    LATE_LOAD_UNKNOWN,    /* the response reported full slots that were not known at sending */
     LATE_COLD_BACKEND,    /* its backend was cold */
-    LATE_SLOW_BACKEND,    /* its backend was slower than a run without the object in memory */
-    LATE_COLD_OBJECT,     /* the run took far longer than usual: the object was not in memory */
+    LATE_SLOW_BACKEND,    /* slower than a run whose object is not cached */
+    LATE_COLD_OBJECT,     /* much slower than typical: the object was not cached */
     LATE_OTHER_REGION,    /* its backend is in another region */
-    LATE_TYPICAL_LATENCY, /* its backend usually takes as long */
-    LATE_CAUSE_COUNT,     /* not a cause */
+    LATE_TYPICAL_LATENCY, /* typical for its backend */
+    LATE_CAUSE_COUNT,     /* number of values */
 } late_cause_t;
 
 typedef struct {
-    uint32_t objective_ms; /* the route's latency objective, 0 for none */
-    uint64_t elapsed_ms;   /* from the request's first byte to its answer */
-    uint64_t attempt_ms;   /* from the sending of the last attempt to its answer */
-    double prior_wait_ms;  /* that the caller had lost before it sent this request */
-    double typical_ms;     /* that the backend takes for a request that does not queue */
-    uint32_t slow_ms;      /* from slow_after_ms(), 0 if not known */
-    bool queued;           /* all slots were known to be taken when it was sent */
-    bool slots_full;       /* the backend's answer told that all slots were taken */
+    uint32_t objective_ms; /* latency objective of the route, 0 if none */
+    uint64_t elapsed_ms;   /* from the first byte of the request to its response */
+    uint64_t attempt_ms;   /* from sending the last attempt to its response */
+    double prior_wait_ms;  /* time the caller spent on refused requests before this one */
+    double typical_ms;     /* typical time of the backend for a request that does not queue */
+    uint32_t slow_ms;      /* from slow_after_ms(), 0 if unknown */
+    bool queued;           /* all slots were known to be in use when it was sent */
+    bool slots_full;       /* the response reported that all slots are in use */
     bool cold;             /* the backend is cold */
     bool other_region;     /* the backend is in another region */
 } lateness_input_t;
--- a/gateway/path/time_limit.c
+++ b/gateway/path/time_limit.c
@@ -1,11 +1,11 @@
-/* Its lines in the log are the exchange's. */
+/* logged under the module name of the exchange */
 #define LOG_MODULE "exchange"
 #include "base/log.h"
 #include "gateway/path/dispatch.h"
 #include "gateway/path/completion.h"
 #include "gateway/path/time_limit.h"
 
-/* The deadline has come. */
+/* Ends the exchange at its deadline. */
 static void
 give_up(exchange_t *ex)
 {
@@ -18,7 +18,7 @@
         completion_refuse(ex, OUTCOME_TIMEOUT);
 }
 
-/* True if the overdue attempt may be broken off in favour of another one. */
+/* Returns true if the overdue attempt may be replaced by another one. */
 static bool
 may_replace_overdue(exchange_t *ex)
 {
@@ -33,8 +33,8 @@
     return ex->retry == RETRY_YES;
 }
 
-/* The attempt takes far longer than usual. It is broken off only once another backend has taken the
- * request: if none does, its own backend may still answer. */
+/* Handles an overdue attempt. It is cancelled only if another backend is available; otherwise its
+ * own backend may still answer. */
 static void
 on_overdue(exchange_t *ex)
 {
