--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -10,7 +10,7 @@
 #include "gateway/endpoints.h"
 #include "gateway/gateway_state.h"
 
-/* ---- questions from outside ---- */
+/* ---- request handlers ---- */
 
 static void
 on_caller_request(void *ctx, wire_request_t *req)
@@ -157,7 +157,7 @@
     view_relay_init(&gateway->view_relay, &relay_conf);
 }
 
-/* What backend servers tell of themselves, and what follows of it between instances. */
+/* Initialises notices from backend servers and their exchange between instances. */
 static void
 init_notices(gateway_t *gateway)
 {
--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -1,9 +1,9 @@
 /*
  * Gateway: one instance of irisstall-gateway.
  *
- * Wires the modules together and runs their regular work; decides nothing itself. Owns all state of
- * the instance. Instances keep nothing on disk: a started one learns everything from the store or
- * from its peers, and answers 503 with a time to come back until it has.
+ * Connects the modules and runs their periodic work; makes no decisions itself. Owns all state
+ * of the instance. Nothing is stored on disk: a starting instance gets its state from the store
+ * or from peers, and responds with 503 and a retry time until then.
  * Relies on the adapter behind ports.h for the platform.
  */
 #pragma once
@@ -22,23 +22,23 @@
 
 typedef struct gateway gateway_t;
 
-/* NULL with an error if a port cannot be opened. The ports must outlive the gateway, which lives as
- * long as its process. */
+/* Returns NULL with an error if a port cannot be opened. `ports` must outlive the gateway, which
+ * lives as long as the process. */
 gateway_t *gateway_start(uv_loop_t *loop, const gateway_settings_t *settings,
                          const gateway_ports_t *ports, err_t *err);
-/* Takes over what may change while running: the seeds. */
+/* Applies the settings that can change at runtime: the seeds. */
 void gateway_reload(gateway_t *gateway, const gateway_settings_t *settings);
-/* Planned stop (policy/shutdown.h): out of the directory at once, requests that were read are
- * answered, then the loop stops. */
+/* Starts a planned stop (policy/shutdown.h): leaves the directory at once, answers the requests
+ * that were read, then stops the loop. */
 void gateway_stop(gateway_t *gateway);
 
-/* For tests: the settings in use, with the ports that the system chose where they said 0. */
+/* For tests: the settings in use; ports configured as 0 hold the port assigned by the system. */
 const gateway_settings_t *gateway_settings(const gateway_t *gateway);
-/* For tests: true if others are preferred to this backend (policy/health.h). */
+/* For tests: true if other backends are preferred to this one (policy/health.h). */
 bool gateway_avoids(const gateway_t *gateway, str_t backend_id);
-/* For tests: the backend as it is known here; NULL if it is not. */
+/* For tests: the state of a backend on this instance; NULL if unknown. */
 const backend_t *gateway_backend(const gateway_t *gateway, str_t id);
-/* For tests: instances heard of lately, this one too. */
+/* For tests: number of instances heard of recently, including this one. */
 unsigned gateway_live_instances(const gateway_t *gateway);
-/* For tests: requests under way. */
+/* For tests: number of requests in progress. */
 size_t gateway_active(const gateway_t *gateway);
--- a/gateway/gateway_events.c
+++ b/gateway/gateway_events.c
@@ -38,8 +38,8 @@
     return true;
 }
 
-/* Started instances ask those that have the views, and hear of them with a heartbeat: the next one
- * may be 0.4 s away. Not measured alone. */
+/* Sends a heartbeat as soon as all views are known, because starting peers request views only from
+ * instances that announced them; the next regular heartbeat may be 0.4 s away. */
 static void
 announce_first_views(gateway_t *gateway)
 {
@@ -60,7 +60,7 @@
     switch (kind) {
     case VIEW_CONFIG:
         deferred_schedule(&gateway->config_update);
-        break; /* in force in gateway_apply_config() */
+        break; /* applied in gateway_apply_config() */
     case VIEW_BACKENDS:
         catalog_apply_backends(catalog, view, store_watch_trouble(&gateway->store_watch));
         catalog_apply_closures(catalog, &gateway->views.items[VIEW_CLOSURES]);
@@ -84,7 +84,7 @@
     view_push_changed(&gateway->view_push, delta, &gateway->router.catalog.fresh);
 }
 
-/* Names that no backend server can have are left out. */
+/* Applies departures of backend servers from a peer; entries with invalid names are skipped. */
 static void
 on_departures(gateway_t *gateway, const Iris__Departures *message)
 {
--- a/gateway/gateway_state.h
+++ b/gateway/gateway_state.h
@@ -1,9 +1,9 @@
 /*
- * What an instance holds, and how its files call each other. Inside of the gateway.
+ * State of an instance, and the interface between the gateway's files. Internal to the gateway.
  *
- * gateway.c puts it together and answers questions from outside; gateway_events.c takes in what the
- * store and the peers tell; gateway_tick.c does the regular work, the planned stop, and what
- * follows when the instance has stood still.
+ * gateway.c initialises the modules and handles incoming requests; gateway_events.c applies
+ * updates from the store and from peers; gateway_tick.c runs the periodic work, the planned stop
+ * and the recovery after a suspension.
  */
 #pragma once
 
@@ -19,7 +19,7 @@
 
 struct gateway {
     uv_loop_t *loop;
-    gateway_settings_t settings; /* with the ports that the system chose */
+    gateway_settings_t settings; /* ports configured as 0 hold the port assigned by the system */
     const gateway_ports_t *ports;
     router_t router;
     exchanges_t exchanges;
@@ -39,19 +39,19 @@
     peer_hub_t *hub;
     listeners_t listeners;
     resume_t resume;
-    deferred_t config_update; /* a new configuration is decoded */
+    deferred_t config_update; /* decodes a new configuration */
     uv_timer_t tick;
-    bool views_announced; /* peers were told that it has all views */
+    bool views_announced; /* peers know that this instance has all views */
     bool stopping;
     uint64_t stop_ms;
 };
 
 /* ---- gateway_events.c ---- */
 
-/* Tells the catalog whether a newer configuration is known of: a living peer holds it, or it is
- * here and not decoded yet. */
+/* Updates whether a newer configuration is known: held by a live peer, or received but not decoded
+ * yet. */
 void gateway_compare_config(gateway_t *gateway);
-/* Callbacks; `ctx` is the gateway. A configuration has come and may be decoded. */
+/* Callbacks; `ctx` is the gateway. gateway_apply_config() decodes a received configuration. */
 void gateway_apply_config(void *ctx);
 void gateway_on_view_change(void *ctx, view_kind_t kind);
 void gateway_on_delta(void *ctx, const view_delta_t *delta);
@@ -60,10 +60,9 @@
 
 /* ---- gateway_tick.c ---- */
 
-/* The time between two rounds of regular work, in milliseconds: half of the shortest heartbeat
- * interval. */
+/* Interval of the periodic work in milliseconds: half of the shortest heartbeat interval. */
 enum { GATEWAY_TICK_MS = 200 };
 
 void gateway_on_tick(uv_timer_t *timer);
-/* Callback: the instance has stood still for so long. */
+/* Callback after the process was suspended for `still_ms`. */
 void gateway_on_resumed(void *ctx, uint64_t still_ms);
--- a/gateway/gateway_tick.c
+++ b/gateway/gateway_tick.c
@@ -6,12 +6,13 @@
 #include "wire/client.h"
 
 enum {
-    /* Peer connections whose output has not moved for this time are closed; the same figure as
-     * USER_TIMEOUT_MS of peer/link.c. Chosen, not measured. */
+    /* Peer connections whose output has stalled for this time are closed; same value as
+     * USER_TIMEOUT_MS of peer/link.c. */
     PEER_STALLED_MS = 1500,
-    /* A connection to a peer that has not come up: above two ways between regions, below a tick. */
+    /* Timeout for connecting to a peer: above a round trip between regions, below a tick. */
     CONNECT_MS = 150,
-    /* Idle connections to backends are closed. Chosen: above the age at which they are used. */
+    /* Idle time after which backend connections are closed; above the age up to which they are
+     * reused. */
     BACKEND_IDLE_MS = 9000,
 };
 
@@ -64,12 +65,9 @@
     peer_hub_sweep_stalled(gateway->hub, PEER_STALLED_MS);
 }
 
-/* An instance that knows nothing yet calls those it has not heard with each tick. Where machines
- * get power within 0.3 s of each other, the first connections to those that come later are lost
- * without a word, and the system opens them again after 1 s: of 67 instances half served 0.8 s
- * after their start. Of the requests of the two seconds in which all were lost, 281 of 3,595 and
- * 558 of 3,496 were in time, with this 361 and 647, and a fifth and a quarter of the day's calls to
- * the store are saved (two days of 67 instances, processor time not counted). */
+/* While this instance has no state yet, reconnects to unheard peers on every tick. If machines
+ * start within 0.3 s of each other, the first SYNs to later ones are lost and the kernel
+ * retransmits only after 1 s. */
 static void
 reconnect_unheard_peers(gateway_t *gateway)
 {
@@ -104,8 +102,8 @@
         advance_stop(gateway);
 }
 
-/* The instance has stood still. Peers have given its connections up, and it theirs; those to
- * backend servers have rested for longer than either side keeps them. */
+/* Peers have closed connections that stalled during the suspension, and backend connections have
+ * been idle longer than either side keeps them. */
 void
 gateway_on_resumed(void *ctx, uint64_t still_ms)
 {
--- a/gateway/ports.h
+++ b/gateway/ports.h
@@ -1,9 +1,9 @@
 /*
- * Ports: what the gateway asks of the platform that it runs on, as structs of functions.
+ * Ports: interfaces of the gateway to the platform it runs on, as structs of functions.
  *
- * platform/ implements them for the users' platform; the gateway knows no header, kind or field of
- * a platform. Implementations translate and decide nothing. Relies on wire/head.h for the heads of
- * requests and answers.
+ * platform/ implements them for the users' platform; the gateway itself knows no header field,
+ * object kind or object field of a platform. Implementations translate and make no decisions.
+ * Relies on wire/head.h for the heads of requests and responses.
  */
 #pragma once
 
@@ -18,121 +18,121 @@
 
 /* Kinds of objects in the store. */
 typedef enum {
-    VIEW_CONFIG,                   /* the operators' configuration */
-    VIEW_BACKENDS,                 /* the list of backend servers */
-    VIEW_CLOSURES,                 /* data halls that must get no requests */
-    VIEW_INSTANCES,                /* the instances of this system */
-    VIEW_WATCHED = VIEW_INSTANCES, /* kinds below this one are watched all the time */
+    VIEW_CONFIG,                   /* operators' configuration */
+    VIEW_BACKENDS,                 /* list of backend servers */
+    VIEW_CLOSURES,                 /* data halls closed to requests */
+    VIEW_INSTANCES,                /* instances of this system */
+    VIEW_WATCHED = VIEW_INSTANCES, /* kinds below this value are watched continuously */
 } view_kind_t;
 
-/* One object as the store gives it. The texts belong to whoever passes the item. */
+/* An object of the store. The strings are owned by the code that passes the item. */
 typedef struct {
     str_t name;
-    uint64_t revision; /* of its last change */
-    bool gone;         /* in changes: it was removed */
-    str_t body;        /* for the decoder */
+    uint64_t revision; /* revision of the last change */
+    bool gone;         /* in changes: the object was removed */
+    str_t body;        /* input of the decoder */
 } store_item_t;
 
 typedef enum {
     STORE_OK,
-    STORE_HISTORY_GONE, /* the watch must start again from a list */
-    STORE_CONFLICT,     /* the object is there already or was changed */
-    STORE_REFUSED,      /* not done: over the rate, or this instance is refused */
-    STORE_FAILED,       /* no answer; a write may have been done or be done later */
-    STORE_UNUSABLE,     /* an answer of no use: too large, malformed, of an unexpected status */
+    STORE_HISTORY_GONE, /* the watch must restart from a list */
+    STORE_CONFLICT,     /* the object already exists or was changed */
+    STORE_REFUSED,      /* not executed: rate limit exceeded, or this instance is refused */
+    STORE_FAILED,       /* no response; a write may still take effect */
+    STORE_UNUSABLE,     /* unusable response: too large, malformed or unexpected status */
 } store_outcome_t;
 
 typedef struct {
     store_outcome_t outcome;
-    err_t err;                 /* the detail unless STORE_OK */
+    err_t err;                 /* error detail unless STORE_OK */
     const store_item_t *items; /* valid during the callback */
     size_t item_count;
-    bool more;   /* a list goes on after its last item */
-    uint64_t at; /* the store's revision */
+    bool more;   /* the list continues after its last item */
+    uint64_t at; /* store revision of the response */
 } store_answer_t;
 
 typedef void (*store_cb_t)(void *ctx, const store_answer_t *answer);
 
-/* Each call is answered once; never before it has returned. */
+/* Each call invokes its callback exactly once, never before the call has returned. */
 typedef struct {
-    /* Lists a kind, from the first name after `after` on. */
+    /* Lists the objects of a kind whose names follow `after`. */
     void (*list)(void *ctx, view_kind_t kind, str_t after, store_cb_t cb, void *cb_ctx);
-    /* Changes of a kind after revision `from`, as soon as there are any, or none after `wait_ms`.
-     */
+    /* Waits up to `wait_ms` for changes of a kind after revision `from`; none if the time runs out.
+     * */
     void (*watch)(void *ctx, view_kind_t kind, uint64_t from, uint32_t wait_ms, store_cb_t cb,
                   void *cb_ctx);
-    /* Makes an object of VIEW_INSTANCES. */
+    /* Creates an object of VIEW_INSTANCES. */
     void (*announce)(void *ctx, str_t name, str_t address, str_t hall, store_cb_t cb, void *cb_ctx);
     void *ctx;
 } store_port_t;
 
-/* ---- the objects ---- */
+/* ---- stored objects ---- */
 
 typedef struct {
-    /* NULL with an error if it breaks a rule; the caller gets a reference. */
+    /* Returns a new reference, or NULL with an error if the object is invalid. */
     config_t *(*config)(str_t body, err_t *err);
     bool (*backend)(str_t name, str_t body, backend_info_t *out, err_t *err);
-    /* An instance's address for its peers, and its data hall. */
+    /* Decodes an instance's peer address and data hall. */
     bool (*instance)(str_t body, addr_t *out, name_t *hall, err_t *err);
 } decoder_port_t;
 
-/* ---- requests and answers ---- */
+/* ---- requests and responses ---- */
 
-/* The key that a request brings. */
+/* Number of account keys in a request. */
 typedef enum {
     KEY_NONE,
     KEY_SINGLE,
-    KEY_MULTIPLE, /* whose request it is cannot be told */
+    KEY_MULTIPLE, /* ambiguous: the account cannot be determined */
 } key_presence_t;
 
-/* What a request says beside its method, target and body. Texts point into the head. */
+/* Metadata of a caller's request. Strings point into the head. */
 typedef struct {
-    str_t id;  /* of this attempt of the caller's */
-    str_t key; /* of a client account; it goes to no log and no backend server */
+    str_t id;  /* id of the caller's attempt */
+    str_t key; /* key of a client account; never logged or forwarded */
     key_presence_t key_form;
-    str_t object; /* what the request is about; empty if it does not say */
+    str_t object; /* object that the request is about; empty if not stated */
     bool has_deadline;
-    uint32_t deadline_ms; /* time that the caller waits */
+    uint32_t deadline_ms; /* time the caller waits */
 } request_metadata_t;
 
-/* What a backend server is told beside the request. */
+/* Metadata added to a request for a backend server. */
 typedef struct {
-    str_t backend; /* id that the request is meant for */
-    str_t account; /* name of the client account, empty for none */
+    str_t backend; /* id of the intended backend */
+    str_t account; /* name of the client account, empty if none */
     uint32_t left_ms;
 } forward_metadata_t;
 
 typedef enum {
-    VERDICT_RESPONSE,    /* the backend's answer, to be passed on */
-    VERDICT_NOT_RUN,     /* the backend says that it did not run the request */
-    VERDICT_MISDIRECTED, /* another backend has the address; not run */
-    VERDICT_INVALID,     /* not an answer of the protocol */
+    VERDICT_RESPONSE,    /* response of the backend, to be forwarded */
+    VERDICT_NOT_RUN,     /* the backend reports that it did not execute the request */
+    VERDICT_MISDIRECTED, /* the address belongs to another backend; not executed */
+    VERDICT_INVALID,     /* not a valid response of the protocol */
 } response_verdict_t;
 
 typedef struct {
     void (*read_request)(const wire_head_t *head, request_metadata_t *out);
-    /* Appends the request's fields for a backend; the body's framing is added by the gateway. Keys
-     * are left out, and the client account's name stands in place of what the caller sent: empty
-     * for none. */
+    /* Appends the header fields for a backend, except body framing, which the gateway adds. Keys
+     * are removed, and the account field of the caller is replaced by the account's name, empty if
+     * none. */
     void (*write_request)(const wire_head_t *head, const forward_metadata_t *terms,
                           wire_text_t *out);
-    /* True if the answer belongs to the request with that id. */
+    /* Returns true if the response belongs to the request with this id. */
     bool (*answers)(const wire_head_t *head, str_t id);
     response_verdict_t (*judge)(const wire_head_t *head);
-    /* False if the answer reports no load. */
+    /* Returns false if the response reports no load. */
     bool (*load)(const wire_head_t *head, reported_load_t *out);
-    /* What the answer says beside it. */
+    /* Reads the notices in a response. */
     void (*notice)(const wire_head_t *head, backend_said_t *out);
-    /* Appends the answer's fields for the caller. */
+    /* Appends the header fields of a response for the caller. */
     void (*write_response)(const wire_head_t *head, wire_text_t *out);
-    /* Appends the fields of an answer of the gateway's own; `retry_ms` 0 leaves out when to come
-     * back. */
+    /* Appends the header fields of a response generated by the gateway. `retry_ms` 0 omits the
+     * retry time. */
     void (*write_gateway_response)(str_t id, uint32_t retry_ms, wire_text_t *out);
 } dialect_port_t;
 
-/* ---- the directory and readiness ---- */
+/* ---- directory and readiness ---- */
 
-/* Texts point into the head; empty where the question does not say. */
+/* Strings point into the head; empty if not given. */
 typedef struct {
     str_t service;
     str_t region;
@@ -142,7 +142,8 @@
 typedef struct {
     bool (*is_readiness_query)(const wire_head_t *head);
     bool (*read_query)(const wire_head_t *head, directory_query_t *out);
-    /* Appends fields and body; `ttl_s` is how long, in seconds, the caller may keep the answer. */
+    /* Appends header fields and body. `ttl_s` is the time in seconds for which the caller may cache
+     * the response. */
     void (*write_addresses)(const addr_t *addrs, size_t count, double ttl_s, wire_text_t *fields,
                             wire_text_t *body);
 } directory_port_t;
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -12,14 +12,14 @@
 #include "gateway/router.h"
 
 enum {
-    OBJECT_SEED = 61, /* any number; the same on every instance */
-    /* Uptime after which the list of instances can be relied on for cold starts: several heartbeats
-     * (0.4 s each) have come by then. Chosen, not measured (docs/design/gateway/cold-start.md). */
+    OBJECT_SEED = 61, /* arbitrary, but must be the same on every instance */
+    /* Uptime after which the list of instances is complete enough for cold starts: several
+     * heartbeats of 0.4 s. */
     SETTLED_AFTER_MS = 2500,
     MS_PER_S = 1000,
 };
 
-/* A change of the own region's share that is worth a log line. */
+/* Minimum change of the own region's share that is logged. */
 #define PLAN_LOG_STEP 0.05
 
 void
@@ -52,13 +52,13 @@
 {
     if (!catalog_apply_config(&router->catalog, view))
         return;
-    /* Plans start now, so that they are there when the first requests come. */
+    /* Creates the region plans, so that they exist when the first requests arrive. */
     const config_t *config = router->catalog.config;
     for (size_t i = 0; i < config->service_count; i++)
         services_get(&router->services, name_str(&config->services[i].name));
 }
 
-/* ---- regular work ---- */
+/* ---- periodic updates ---- */
 
 static void
 log_plan(service_t *service, const region_plan_input_t *input, size_t region)
@@ -96,7 +96,7 @@
     router->senders_settled = now_ms - router->started_ms > SETTLED_AFTER_MS;
 }
 
-/* Requests that the instances of the own region carry, for each of this one's. */
+/* Requests handled by all instances of the own region, per request of this instance. */
 static double
 traffic_scale(const router_t *router, const members_t *members)
 {
@@ -105,7 +105,7 @@
     return own > 0 && all > own ? all / own : 1;
 }
 
-/* Sets for how many slots the backends count that name a limit. */
+/* Sets the effective slots of backends with a declared limit. */
 static void
 update_room(router_t *router)
 {
@@ -169,7 +169,7 @@
     return hash;
 }
 
-/* Slots that requests about an object keep busy, over all instances of the own region. */
+/* Returns the slots occupied by requests for an object, over all instances of the own region. */
 static double
 object_demand(const router_t *router, const config_route_t *route, uint64_t object)
 {
@@ -177,7 +177,7 @@
     return per_s * route_stats_median_ms(&router->routes, route->key) / MS_PER_S;
 }
 
-/* What every choice on this instance has in common. */
+/* Fills the fields common to every choice on this instance. */
 static choice_input_t
 choice_input(const router_t *router, const config_route_t *route, str_t service,
              const region_plan_t *plan, uint64_t object)
@@ -311,7 +311,8 @@
     apply_rest(router, backend, notice);
     if (said->unusable > 0)
         catalog_count_unusable_notice(backend, said->unusable);
-    /* One that turns a request away may leave out what it says in answers of its runs. */
+    /* A response that refuses the request may omit the limit, so only executed requests clear it.
+     * */
     const bool limit_known = said->names_limit || notice->ran;
     const notice_t news = {
         .backend = backend->info.id,
--- a/gateway/router.h
+++ b/gateway/router.h
@@ -1,10 +1,10 @@
 /*
- * Router: answers the request path's questions about one request, by asking the policies with what
- * this instance knows.
+ * Router: makes the decisions about a request by calling the policies with the state known to
+ * this instance.
  *
- * Owns the catalog (configuration, backend servers), the state kept for each service and route, and
- * the random source. Decides nothing itself: each decision is a module in policy/. Relies on
- * membership for the other instances' demand and number. Knows no connections to callers.
+ * Owns the catalog (configuration, backend servers), per-service and per-route state, and the
+ * random source. The decisions themselves are in policy/. Relies on membership for the demand
+ * and number of the other instances. Does not handle caller connections.
  */
 #pragma once
 
@@ -18,18 +18,18 @@
 #include "gateway/state/services.h"
 #include "gateway/state/traffic.h"
 
-/* The operators' bound on retries, from the settings. */
+/* Bounds on retries, from the settings. */
 typedef struct {
-    double ratio;       /* extra sends for each request */
-    double constant;    /* extra sends in a window, over all instances */
-    uint64_t window_ms; /* length of the window */
+    double ratio;    /* additional sends per request */
+    double constant; /* additional sends per window, over all instances */
+    uint64_t window_ms;
 } router_retry_bounds_t;
 
 typedef struct {
     const topology_t *topology;
     const decoder_port_t *decoder;
     str_t instance; /* name of this instance */
-    str_t hall;     /* its data hall */
+    str_t hall;     /* data hall of this instance */
     router_retry_bounds_t retry_bounds;
 } router_conf_t;
 
@@ -40,86 +40,89 @@
     name_t instance;
     name_t hall;
     size_t region;
-    uint64_t key; /* of this instance among the cold-start senders */
+    uint64_t key; /* key of this instance among `senders` */
     rng_t rng;
     uint64_t started_ms;
     catalog_t catalog;
     services_t services;
     traffic_t traffic;
     object_rates_t objects;
-    double traffic_scale; /* requests of the own region for each of this instance */
+    double traffic_scale; /* requests of the own region per request of this instance */
     route_stats_t routes;
     cold_sender_t senders[MEMBERS_MAX]; /* all instances ever heard of */
     size_t sender_count;
     bool senders_settled;
-    unsigned live_instances; /* instances heard of lately, this one too */
-    unsigned instances;      /* of the whole fleet */
+    unsigned live_instances; /* instances heard of recently, including this one */
+    unsigned instances;      /* total number of instances, from members_total() */
 } router_t;
 
 /* A request that needs a backend. */
 typedef struct {
     const config_route_t *route;
-    const config_account_t *account; /* NULL: of nobody */
+    const config_account_t *account; /* NULL if none */
     service_t *service;
     uint64_t object; /* from router_object() */
     bool has_object;
-    uint32_t left_ms;     /* time that the caller still waits */
-    double prior_wait_ms; /* that the caller has lost before, from router_record_caller() */
-    uint64_t version;     /* only backends of that software version; 0: any */
-    bool suspected;       /* a backend server has ended under it */
-    bool may_ask;         /* it may ask for a permit (policy/pass_over.h) */
+    uint32_t left_ms;     /* time the caller will still wait */
+    double prior_wait_ms; /* time already spent on refused requests, from router_record_caller() */
+    uint64_t version;     /* use only backends of this software version; 0 for any */
+    bool suspected;       /* a backend server crashed while running it */
+    bool may_ask;         /* a backend that needs a permit may be chosen (policy/pass_over.h) */
     backend_t *const *tried;
     size_t tried_count;
 } router_request_t;
 
-/* What the configuration refers to must outlive the router. */
+/* Objects referenced by `conf` must outlive the router. */
 void router_init(router_t *router, uv_loop_t *loop, const router_conf_t *conf);
-/* Applies the configuration if it is newer. */
+/* Applies the configuration if it is newer than the current one. */
 void router_apply_config(router_t *router, const view_t *view);
-/* Regular work: demand, plans, membership, backends that are due for removal. */
+/* Periodic update of demand, region plans, membership and backends due for removal. */
 void router_tick(router_t *router, const members_t *members);
-/* True once requests can be decided. */
+/* Returns true once requests can be routed. */
 bool router_is_ready(const router_t *router);
 
-/* The service that serves a request of this route: one of its targets, by weight. */
+/* Picks one of the route's target services by weight. */
 service_t *router_service(router_t *router, const config_route_t *route);
-/* The hash of an object on a route, the same on every instance. */
+/* Returns the hash of an object on a route, identical on every instance. */
 uint64_t router_object_hash(const config_route_t *route, str_t object);
-/* True if the request is about an object that backends keep in memory. */
+/* Returns true if the request names an object that backends cache. */
 bool router_has_object(const config_route_t *route, str_t object);
-/* The number by which a request's backend is chosen: the object's hash, or random without one. */
+/* Returns the number that selects the backend: the object's hash, or a random number without an
+ * object. */
 uint64_t router_object(router_t *router, const config_route_t *route, str_t object);
-/* The software versions that usable backends of the service run, `most` at the most; returns their
- * number. */
+/* Stores up to `max` software versions run by usable backends of the service; returns their number.
+ * */
 size_t router_usable_versions(const router_t *router, const service_t *service, uint64_t *out,
                               size_t max);
 choice_t router_pick(router_t *router, const router_request_t *request);
-/* The decision that router_pick() would make, without carrying it out; for the admin pages. */
+/* Returns the input for the decision that router_pick() would make, without side effects; for the
+ * admin pages. */
 choice_input_t router_explain_input(const router_t *router, const config_route_t *route,
                                     str_t service, uint64_t object);
 
-/* A caller that still waits for `left_ms` has come; returns the time in milliseconds that it has
- * lost before: more than 0 if it comes again after a refusal. */
+/* Records the remaining deadline of a caller. Returns the time in milliseconds that it has already
+ * spent, more than 0 if it retries after a refusal. */
 double router_record_caller(router_t *router, const config_route_t *route, uint32_t left_ms);
-/* A request has arrived: it adds to the budgets of its service. */
+/* Counts a request; it adds to the retry budget of its service. */
 void router_count_request(router_t *router, service_t *service);
-/* A request found no backend. */
+/* Counts a request for which no backend was found. */
 void router_count_refused(router_t *router, service_t *service);
-/* An answer of a backend says something of itself. */
+/* Notices that a backend sent in a response. */
 typedef struct {
     const backend_said_t *said;
     uint64_t sent_ms; /* loop time at which its request was sent */
-    bool ran;         /* the backend ran that request */
+    bool ran;         /* the backend executed that request */
 } answer_notice_t;
 void router_apply_notice(router_t *router, backend_t *backend, const answer_notice_t *notice);
-/* An attempt at a backend starts, and finishes; it was sent at that loop time. */
+/* Count an attempt as started and finished; `sent_ms` is the loop time at which it was sent. */
 void router_attempt_started(router_t *router, service_t *service, backend_t *backend);
 void router_attempt_finished(router_t *router, service_t *service, backend_t *backend,
                              uint64_t sent_ms);
-/* A whole answer came after `latency_ms`. */
+/* Records the latency of a complete response. */
 void router_count_answer(router_t *router, const config_route_t *route, service_t *service,
                          double latency_ms);
-/* Time in milliseconds after which an attempt on this route is overdue, 0 if not known. */
+/* Returns the time in milliseconds after which an attempt on this route is overdue, 0 if unknown.
+ * */
 uint32_t router_slow_ms(router_t *router, const config_route_t *route);
-/* The retry budget that a request of this service draws on. */
+/* Returns the retry budget of a service. */
 retry_account_t router_retry_account(router_t *router, service_t *service);
