--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -30,7 +30,7 @@
                 value);
 }
 
-/* States of the backends; one may be in several. */
+/* Sets the gauges of backend states; a backend may be in several. */
 static void
 set_backend_gauges(const router_t *router)
 {
@@ -75,7 +75,7 @@
     }
 }
 
-/* How old the last change of each kind of view was when it came into force here. */
+/* Sets the gauges for the delay between a change of a view and its activation. */
 static void
 set_age_gauges(const views_t *views)
 {
@@ -94,7 +94,7 @@
     }
 }
 
-/* Sums only: accounts come and go, and would each be a line for ever. */
+/* Totals only: metrics are never removed, so one per account would accumulate. */
 static void
 set_account_gauges(const account_news_t *accounts)
 {
@@ -170,7 +170,7 @@
     inspect_status(&status, out);
 }
 
-/* Lifts what is held against a request or family, at all instances. */
+/* Lifts the quarantine of a request or family, on all instances. */
 static void
 handle_quarantine_lift(const admin_t *admin, wire_request_t *req)
 {
--- a/gateway/admin.h
+++ b/gateway/admin.h
@@ -1,9 +1,10 @@
 /*
- * Admin pages of an instance: metrics, table, status, explanation, held requests; read by irisctl
- * and by monitoring.
+ * Admin pages of an instance: metrics, table, status, explanation, client accounts, quarantine;
+ * used by irisctl and by monitoring.
  *
- * Owns the gauges. Reads the state of the instance; the one thing that it changes is what is held
- * against a request, with POST. The pages' text is written by inspect.h and inspect_suspects.h.
+ * Owns the gauges. Reads the state of the instance; the only change it makes is lifting a
+ * quarantine with POST. The pages are written by inspect.h, inspect_accounts.h and
+ * inspect_suspects.h.
  */
 #pragma once
 
@@ -24,5 +25,5 @@
     const wire_listener_t *callers;
 } admin_t;
 
-/* Answers a question to the admin address. */
+/* Handles a request on the admin port. */
 void admin_handle_request(const admin_t *admin, wire_request_t *req);
--- a/gateway/deferred.c
+++ b/gateway/deferred.c
@@ -1,6 +1,6 @@
 #include "gateway/deferred.h"
 
-/* The first read ends the turn in which the work was asked for, if a socket's callback did so. */
+/* The first poll may belong to the iteration in which the work was scheduled. */
 enum { POLLS_NEEDED = 2 };
 
 static void
--- a/gateway/deferred.h
+++ b/gateway/deferred.h
@@ -1,10 +1,10 @@
 /*
- * Deferred work: a callback that runs once the loop has read its sockets again.
+ * Deferred work: a callback that runs after the loop has polled its sockets again.
  *
- * Guards against one long turn of the loop: decoding a configuration of 4,222 routes takes 20 ms of
- * a core, and reading the answer that brought it 26 ms more (scratch program), ten times as long on
- * an instance that has a tenth of a core. Between the two, callers that have left are noticed and
- * requests are taken.
+ * Splits long work over several loop iterations: decoding a configuration of 4,222 routes takes
+ * 20 ms of CPU time on top of 26 ms for reading the response that carried it, and ten times as
+ * long on a tenth of a core. In between, the loop notices disconnected callers and accepts
+ * requests.
  *
  * Owns two libuv handles, which live as long as the loop.
  */
@@ -16,14 +16,14 @@
 
 typedef struct {
     uv_check_t check;
-    uv_idle_t idle;      /* keeps the loop from waiting */
-    unsigned poll_count; /* of the sockets, since it was asked for */
+    uv_idle_t idle;      /* keeps the loop from blocking in poll */
+    unsigned poll_count; /* socket polls since the callback was scheduled */
     bool is_pending;
     void (*cb)(void *ctx);
     void *ctx;
 } deferred_t;
 
-/* In place. */
+/* Initialises in place; the struct must not be moved afterwards. */
 void deferred_init(deferred_t *deferred, uv_loop_t *loop, void (*cb)(void *ctx), void *ctx);
-/* Runs the callback once, however often it is asked for before that. */
+/* Schedules the callback; repeated calls before it runs have no effect. */
 void deferred_schedule(deferred_t *deferred);
--- a/gateway/inspect.c
+++ b/gateway/inspect.c
@@ -3,7 +3,7 @@
 #include "gateway/inspect.h"
 #include "base/loop_time.h"
 
-/* What a row of the table sums up. */
+/* Totals of one table row. */
 typedef struct {
     unsigned backends;
     unsigned ready;
@@ -92,7 +92,7 @@
                      member->hall.ptr, state, (unsigned long long)(now - member->heard_ms));
 }
 
-/* What is known of the newest configuration that is not in force. */
+/* Writes why the newest known configuration is not fully in force. */
 static void
 print_config_problems(const catalog_t *catalog, wire_text_t *out)
 {
@@ -152,7 +152,7 @@
     }
 }
 
-/* What the backend tells of itself, and how much was sent there. */
+/* Writes the notices of a backend and the number of requests sent to it. */
 static void
 print_backend_notices(const backend_t *backend, uint64_t now, wire_text_t *out)
 {
--- a/gateway/inspect.h
+++ b/gateway/inspect.h
@@ -1,10 +1,10 @@
 /*
- * Text of the admin pages: the table (a row for each service and data hall), the instance's status,
- * and why a request goes where it goes.
+ * Text of the admin pages: the table (a row per service and data hall), the status of the
+ * instance, and the explanation of a routing decision.
  *
- * Owns nothing and changes nothing. irisctl prints the text as it is, so its form and the words of
- * its columns stay: PLACE is a data hall, UPSTREAMS are backend servers, PAUSED are those that the
- * breaker suspends, and the store that is "followed" is the one that is watched.
+ * Owns nothing and changes nothing. irisctl prints the text unchanged, so its format and column
+ * names are fixed: PLACE is a data hall, UPSTREAMS are backend servers, PAUSED are backends
+ * suspended by the breaker, and "followed" means that the store is watched.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 #include "gateway/state/store_watch.h"
 #include "wire/head.h"
 
-/* Rows of all services, or of one if `service` is not empty. */
+/* Writes the rows of all services, or of one if `service` is not empty. */
 void inspect_table(const router_t *router, str_t service, wire_text_t *out);
 
 typedef struct {
@@ -25,6 +25,7 @@
 } inspect_status_t;
 
 void inspect_status(const inspect_status_t *status, wire_text_t *out);
-/* Route, services and backends of a request for that host, path and object, which may be empty. */
+/* Writes the route, services and backends for a request with this host, path and object; `object`
+ * may be empty. */
 void inspect_explain(const router_t *router, str_t host, str_t path, str_t object,
                      wire_text_t *out);
--- a/gateway/inspect_accounts.c
+++ b/gateway/inspect_accounts.c
@@ -33,7 +33,7 @@
                      name_of(news, use->owner));
 }
 
-/* What the owner knows, where this instance is the owner in its region. */
+/* Writes the ledger of an account that this instance owns in its region. */
 static void
 print_ledger(const account_news_t *news, const ledger_t *ledger, wire_text_t *out)
 {
--- a/gateway/inspect_accounts.h
+++ b/gateway/inspect_accounts.h
@@ -1,14 +1,14 @@
 /*
- * Text of the admin page of client accounts: limit, use, refusals, and where an account's shares
- * are. Keys are not shown.
+ * Text of the admin page on client accounts: limits, use, refusals, and the distribution of
+ * shares. Keys are not shown.
  *
- * Owns nothing and changes nothing. irisctl prints the text as it is.
+ * Owns nothing and changes nothing. irisctl prints the text unchanged.
  */
 #pragma once
 
 #include "gateway/membership/account_news.h"
 #include "wire/head.h"
 
-/* A line for each account in use, or for one and what its owner knows of it here if `account` is
- * not empty. */
+/* Writes a line per account in use. If `account` is not empty, only that account and, on its owner,
+ * the owner's ledger. */
 void inspect_accounts(const account_news_t *news, str_t account, wire_text_t *out);
--- a/gateway/inspect_suspects.h
+++ b/gateway/inspect_suspects.h
@@ -1,13 +1,14 @@
 /*
- * Text of the admin page on requests under which backend servers have ended: what is held, on which
+ * Text of the admin page on requests that crashed backend servers: what is quarantined, on which
  * evidence, and until when.
  *
- * Owns nothing and changes nothing. irisctl prints the text as it is.
+ * Owns nothing and changes nothing. irisctl prints the text unchanged.
  */
 #pragma once
 
 #include "gateway/state/suspects.h"
 #include "wire/head.h"
 
-/* A line each for the requests and families that are or were held, and the number of the others. */
+/* Writes a line per request or family that is or was quarantined, and the number of other suspects.
+ * */
 void inspect_suspects(const suspects_t *suspects, uint64_t now_ms, wire_text_t *out);
--- a/gateway/listeners.c
+++ b/gateway/listeners.c
@@ -3,13 +3,12 @@
 #include "base/xmalloc.h"
 
 enum {
-    /* Of the ports for questions of a few hundred bytes. Chosen, not measured. */
+    /* readiness, directory and admin ports, whose requests have a few hundred bytes */
     SMALL_HEAD_MAX = 8192,
     SMALL_CONNECTIONS_MAX = 512,
-    /* Callers' connections, below the 4,100 descriptors of an instance on the users' sites. Chosen,
-     * not measured. */
+    /* stays below the 4,100 file descriptors of an instance */
     CALLER_CONNECTIONS_MAX = 3000,
-    /* Of callers until a configuration gives limits. Chosen, not measured. */
+    /* limits for callers until a configuration is known */
     DEFAULT_HEAD_MAX = 16384,
     DEFAULT_BODY_MAX = 1 << 20,
     HEAD_TIMEOUT_MS = 3000,
--- a/gateway/listeners.h
+++ b/gateway/listeners.h
@@ -1,8 +1,8 @@
 /*
- * Listeners: the ports on which an instance answers callers, the platform and operators.
+ * Listeners: the ports of an instance for callers, the platform and operators.
  *
- * Owns the listeners and their limits. Relies on wire/listener.h; the handlers belong to the
- * instance.
+ * Owns the listeners and their limits. Relies on wire/listener.h; the handlers are provided by
+ * the instance.
  */
 #pragma once
 
@@ -15,18 +15,18 @@
     wire_handler_t readiness;
     wire_handler_t directory;
     wire_handler_t admin;
-    void *ctx; /* of all four */
+    void *ctx; /* argument of all four handlers */
 } listener_handlers_t;
 
 typedef struct {
     wire_listener_t *callers;
     wire_listener_t *readiness;
     wire_listener_t *directory;
-    wire_listener_t *admin; /* NULL if the settings give no address */
+    wire_listener_t *admin; /* NULL without an admin address in the settings */
 } listeners_t;
 
-/* Opens all ports; addresses in `settings` with port 0 get the port that the system chose. */
+/* Opens all ports. Port 0 in `settings` is replaced by the port assigned by the system. */
 bool listeners_open(listeners_t *listeners, uv_loop_t *loop, gateway_settings_t *settings,
                     const listener_handlers_t *handlers, err_t *err);
-/* Applies the operators' limits to callers. */
+/* Applies the configured limits to callers. */
 void listeners_apply_limits(listeners_t *listeners, const config_limits_t *limits);
--- a/gateway/settings.c
+++ b/gateway/settings.c
@@ -7,11 +7,11 @@
 
 enum { TEXT_MAX = 255, MS_PER_S = 1000, BYTES_PER_MBIT = 125000 };
 
-/* The least values that make sense; below them something is mistyped. */
+/* lower bounds that catch typing errors */
 #define TTL_MIN_S 0.1
 #define WINDOW_MIN_S 1
 
-/* The file as libcyaml reads it; values are checked afterwards. */
+/* File contents as parsed by libcyaml; values are validated afterwards. */
 typedef struct {
     char *place;
     char *region;
--- a/gateway/settings.h
+++ b/gateway/settings.h
@@ -1,8 +1,7 @@
 /*
- * Settings of a gateway instance, read from a YAML file and checked.
+ * Settings of a gateway instance, read and validated from a YAML file.
  *
- * docs/GATEWAY.md lists the keys, which keep their names: `place` is a data hall. Relies on
- * base/yaml.h.
+ * docs/GATEWAY.md documents the keys; `place` is a data hall. Relies on base/yaml.h.
  */
 #pragma once
 
@@ -10,32 +9,32 @@
 #include "base/error.h"
 #include "gateway/membership/topology.h"
 
-enum { GATEWAY_SEEDS_MAX = 8 }; /* chosen, not measured */
+enum { GATEWAY_SEEDS_MAX = 8 };
 
 typedef struct {
-    name_t name;    /* of this instance */
-    name_t hall;    /* its data hall */
-    addr_t callers; /* to listen on, like the next four */
+    name_t name;    /* name of this instance */
+    name_t hall;    /* data hall of this instance */
+    addr_t callers; /* listening address, like the next four */
     addr_t readiness;
     addr_t directory;
     addr_t peer;
     addr_t admin;
     bool has_admin;
-    addr_t store; /* the platform's */
+    addr_t store; /* address of the platform's store */
     addr_t seeds[GATEWAY_SEEDS_MAX];
     size_t seed_count;
     topology_t topology;
-    double link_bytes_per_s; /* of the machine's link, one direction; 0 if not known */
-    double cpu_cores;        /* that the instance may use; 0 if not known */
-    double directory_ttl_s;  /* seconds for which callers may keep the directory's answer */
-    uint64_t grace_ms;       /* from the request to stop until the process is killed */
+    double link_bytes_per_s; /* bandwidth of the machine's link in one direction; 0 if unknown */
+    double cpu_cores;        /* CPU cores available to the instance; 0 if unknown */
+    double directory_ttl_s;  /* seconds for which callers may cache a directory response */
+    uint64_t grace_ms;       /* from the stop request until the process is killed */
     double retry_ratio;      /* see retry_budget.h */
     double retry_constant;
     uint64_t retry_window_ms;
 } gateway_settings_t;
 
-/* True if started instances ask this one first. One that is told of no other counts as well: it has
- * nobody to wait for. */
+/* Returns true if this instance is a seed. An instance without seeds counts as one, since it has no
+ * peer to wait for. */
 bool settings_is_seed(const gateway_settings_t *settings);
-/* Fails with the key and the value that are wrong. */
+/* Returns false with an error that names the invalid key and value. */
 bool gateway_settings_load(const char *path, gateway_settings_t *out, err_t *err);
