--- a/test/gateway/fixture.h
+++ b/test/gateway/fixture.h
@@ -1,4 +1,4 @@
-/* What the gateway's unit tests have in common. */
+/* Helpers shared by the gateway's unit tests. */
 #pragma once
 
 #include "gateway/membership/topology.h"
--- a/test/gateway/main.c
+++ b/test/gateway/main.c
@@ -1,4 +1,4 @@
-/* Runs the gateway's tests; closes with one line that counts them. */
+/* Runs the gateway's test suites and prints the totals on the last line. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/test/gateway/site.c
+++ b/test/gateway/site.c
@@ -15,7 +15,7 @@
     ((site_t *)timer->data)->timed_out = true;
 }
 
-/* What the backend server tells of itself in each answer. */
+/* Returns the extra header lines of each response. */
 static const char *
 extra_header_lines(const scripted_t *backend)
 {
@@ -45,7 +45,7 @@
 
 static void on_backend_request(void *ctx, standin_conn_t *conn, str_t text);
 
-/* The process starts again, under an id of its own. */
+/* Restarts the process under a new id. */
 static void
 on_restart(uv_timer_t *timer)
 {
--- a/test/gateway/site.h
+++ b/test/gateway/site.h
@@ -1,6 +1,6 @@
 /*
- * A site in one process: a gateway between a caller, scripted backend servers and a stand-in of the
- * store, all on one loop over loopback.
+ * Test deployment in one process: a gateway between a caller, scripted backend servers and a
+ * stand-in for the store, all on one event loop over loopback.
  */
 #pragma once
 
@@ -25,36 +25,36 @@
 
 typedef enum {
     DOES_ANSWER,
-    DOES_REFUSE,    /* says that it did not run the request */
-    DOES_MISDIRECT, /* 421 */
-    DOES_RESET,     /* after it has read the request */
-    DOES_CUT,       /* half of the promised body */
-    DOES_UNFRAMED,  /* a body without a length */
+    DOES_REFUSE,    /* reports that it did not execute the request */
+    DOES_MISDIRECT, /* responds with 421 */
+    DOES_RESET,     /* resets the connection after reading the request */
+    DOES_CUT,       /* sends half of the announced body and closes */
+    DOES_UNFRAMED,  /* sends a body without a length */
     DOES_CUT_UNFRAMED,
-    DOES_SURPLUS, /* a second answer behind the first */
-    DOES_LATE,    /* another request's answer before its own */
+    DOES_SURPLUS, /* sends a second response after the first */
+    DOES_LATE,    /* sends the response of another request before its own */
     DOES_GARBAGE,
     DOES_UNSIGNED,
-    DOES_HOLD, /* never answers */
-    DOES_FAIL, /* 500 */
+    DOES_HOLD, /* never responds */
+    DOES_FAIL, /* responds with 500 */
     DOES_LARGE,
-    DOES_CRASH, /* its process ends while it runs the request, and starts again some time later */
+    DOES_CRASH, /* its process ends while running the request and restarts later */
 } behaviour_t;
 
 typedef struct {
     site_t *site;
     standin_backend_t *standin;
     char id[16];
-    uint64_t born;        /* which life its entry tells of */
-    bool survives_poison; /* it runs another software version, which bears poison requests */
+    uint64_t born;        /* start time in its store entry */
+    bool survives_poison; /* runs another software version that survives poison requests */
     behaviour_t behaviour;
-    const char *extra_headers;       /* header lines in each of its answers; NULL: none */
+    const char *extra_headers;       /* header lines added to every response; NULL if none */
     uint64_t arrivals[ARRIVALS_MAX]; /* loop times of its first requests */
     size_t arrival_count;
     uv_timer_t restart;
-    unsigned life; /* of the process, counted from 0; each has an id of its own */
+    unsigned life; /* number of restarts; each process has its own id */
     size_t runs;
-    bool wrong_instance; /* got a request that expects another */
+    bool wrong_instance; /* received a request that expects another instance */
     uint64_t last_deadline;
     char last[1024]; /* text of the last request */
 } scripted_t;
@@ -84,12 +84,12 @@
     scripted_t backends[BACKENDS_MAX];
     unsigned version;
     unsigned extra_routes;
-    const char *accounts; /* JSON of the configuration's client accounts; NULL: it has none */
-    const char *poison;   /* requests whose text holds this end what runs them; NULL: none */
-    size_t ends;          /* of processes of backend servers */
+    const char *accounts; /* client accounts of the configuration as JSON; NULL if none */
+    const char *poison;   /* requests containing this text crash the backend; NULL if none */
+    size_t ends;          /* number of backend crashes */
 };
 
-/* Runs the loop until the condition holds; fails after a generous time. */
+/* Runs the loop until the condition holds; fails after PATIENCE_MS. */
 #define RUN_UNTIL(site, condition)                                                                 \
     do {                                                                                           \
         uv_timer_start(&(site)->guard, on_guard, PATIENCE_MS, 0);                                  \
@@ -100,44 +100,44 @@
         ck_assert_msg(condition, "not reached: %s", #condition);                                   \
     } while (0)
 
-/* The backend server's process ends; it starts again some time later. */
+/* Ends the backend server's process; it restarts some time later. */
 void crash_backend(scripted_t *backend);
-/* Timer of RUN_UNTIL. */
+/* Timer callback of RUN_UNTIL. */
 void on_guard(uv_timer_t *timer);
-/* Writes the entry of a backend server into the store. */
+/* Writes the store entry of a backend server. */
 void put_backend(site_t *site, scripted_t *backend, const char *state);
-/* Writes a new version of the configuration; `extra_prefix` may be NULL. */
+/* Writes a new version of the configuration; `extra_prefix` adds a route and may be NULL. */
 void put_config(site_t *site, const char *extra_prefix);
-/* A gateway on that store; `seed` may be NULL. */
+/* Starts a gateway that uses this store; `seed` may be NULL. */
 gateway_t *start_gateway(site_t *site, const char *name, const store_port_t *store,
                          const addr_t *seed);
-/* Sends a request to the gateway in use; the reply must live until it is done. */
+/* Sends a request to the current gateway; the reply must live until it is done. */
 wire_call_t *call(site_t *site, reply_t *reply, const char *request);
-/* The same, and waits for the reply. */
+/* Sends a request for a fixed object and waits for the reply. */
 reply_t ask(site_t *site, const char *method, const char *path);
-/* The same about any object; ask() asks about one and the same. */
+/* Like ask(), for the given object. */
 reply_t ask_about(site_t *site, const char *method, const char *path, unsigned object);
 bool is_ready(site_t *site);
-/* A store and that many backend servers, without a gateway. */
+/* Starts a store and backend servers without a gateway. */
 site_t *new_site(size_t backends);
-/* Requests go to this gateway from now on. */
+/* Makes this the current gateway. */
 void use_gateway(site_t *site, gateway_t *gateway);
-/* The same with a gateway that serves requests. */
+/* Like new_site(), with a gateway that is ready. */
 site_t *new_ready_site(size_t backends);
-/* Requests run by all backend servers. */
+/* Number of requests executed by all backend servers. */
 size_t total_runs(const site_t *site);
 void set_all_behaviours(site_t *site, behaviour_t behaviour);
-/* The backend that gets the object first, made known by a request. */
+/* Finds the preferred backend of the default object by sending a request. */
 scripted_t *first_backend(site_t *site, const char *path);
 
-/* Requests that reached the backend server from one loop time to another. */
+/* Number of requests that reached the backend server in a time range. */
 size_t arrivals_between(const scripted_t *backend, uint64_t from_ms, uint64_t to_ms);
-/* The most of them in a window of that length that begins at `from_ms` or later. */
+/* Maximum number of them in a window of this length that begins at `from_ms` or later. */
 size_t max_arrivals_in_window(const scripted_t *backend, uint64_t from_ms, uint64_t window_ms);
-/* Runs the loop for so long. */
+/* Runs the loop for the given time. */
 void run_loop_ms(site_t *site, uint64_t ms);
 
-/* Some instances on one site. */
+/* Several instances of one deployment. */
 typedef struct {
     site_t *site;
     gateway_t *gateways[FLEET_MAX];
@@ -145,12 +145,12 @@
     size_t count;
 } instances_t;
 
-/* All of them ready and heard of. */
+/* Starts instances and waits until all are ready and know each other. */
 instances_t new_instances(size_t backends, size_t instances);
-/* Starts more, up to that number in all. */
+/* Starts further instances up to a total of `count`. */
 void add_instances(instances_t *fleet, size_t count);
-/* A GET through one of them. */
+/* Sends a GET through one of the instances. */
 reply_t ask_through(const instances_t *fleet, size_t instance, const char *path);
-/* Asks through some of the instances, one after the other, for one of OBJECTS after the other, for
- * so long; returns how many requests were not served. */
+/* Sends requests through the first instances in turn, cycling through OBJECTS objects, for
+ * `span_ms`; returns the number of requests that did not get 200. */
 size_t send_continuously(const instances_t *fleet, size_t instances, uint64_t span_ms);
--- a/test/gateway/test_deferred.c
+++ b/test/gateway/test_deferred.c
@@ -1,4 +1,4 @@
-/* Work that waits until the loop has read its sockets again. */
+/* Callbacks deferred until the loop has polled its sockets. */
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -6,7 +6,7 @@
 #include "gateway/deferred.h"
 #include "test/suites.h"
 
-/* Two connections; what is done on them is written down in order. */
+/* Two connections; records the order of the callbacks. */
 typedef struct {
     uv_loop_t loop;
     deferred_t work;
@@ -38,7 +38,7 @@
     xassert(read(fd, &byte, 1) == 1);
 }
 
-/* Asks for the work, and a byte arrives on the other connection in the same turn. */
+/* Schedules the callback; a byte arrives on the other connection in the same iteration. */
 static void
 on_first(uv_poll_t *poll, int status, int events)
 {
@@ -100,7 +100,7 @@
     run(rig, 3);
     ck_assert_str_eq(rig->order, "12w");
     ck_assert(!rig->work.is_pending);
-    /* Asked for once more, it runs once more. */
+    /* Scheduled again, it runs again. */
     xassert(write(rig->fds[0][1], "x", 1) == 1);
     run(rig, 6);
     ck_assert_str_eq(rig->order, "12w12w");
--- a/test/gateway/test_endpoints.c
+++ b/test/gateway/test_endpoints.c
@@ -1,4 +1,4 @@
-/* A gateway's metrics, readiness, directory and planned stop. */
+/* Admin pages, metrics, readiness, directory and planned stop of a gateway. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -93,8 +93,7 @@
     site_t *site = new_ready_site(3);
     ask(site, "GET", "/safe/x");
     put_backend(site, &site->backends[0], "draining");
-    /* The plan is made with the first tick after the request. */
-    /* The plan is made with the first tick, which may come after the first request. */
+    /* The plan is created by the first tick, which may come after the first request. */
     do {
         read_page(site, "/metrics", &page);
     } while (strstr(page.text, "irisstall_upstreams_in_state{state=\"leaving\"} 1\n") == NULL ||
@@ -116,8 +115,8 @@
 }
 END_TEST
 
-/* The store accepts what the decoder does not: the instance goes on with what it has, tells it, and
- * denies no route that the newer configuration may have. */
+/* With a configuration that cannot be decoded, the instance keeps the old one, reports the error,
+ * and does not respond with 404 to routes that the newer one may have. */
 START_TEST(unusable_configuration_is_reported)
 {
     static page_t page;
@@ -155,7 +154,7 @@
                                 "h.example", "pathPrefix", "/good/", "service", "svc"),
                       NULL);
     RUN_UNTIL(site, ask(site, "POST", "/good/x").status == 200);
-    /* Nor does the route serve it that begins its path as well. */
+    /* The route whose prefix also matches must not serve it either. */
     ck_assert_int_eq(ask(site, "POST", "/good/bad/x").status, 503);
     ck_assert_int_eq(ask(site, "GET", "/bad/x").status, 503);
     read_page(site, "/metrics", &page);
@@ -190,7 +189,7 @@
     RUN_UNTIL(site, reply.done);
     ck_assert_int_eq(reply.status, 504);
     ck_assert(reply.whole);
-    /* The loop is stopped by the gateway once everything has ended. */
+    /* The gateway stops the loop once everything has ended. */
     uv_timer_start(&site->guard, on_guard, PATIENCE_MS, 0);
     uv_run(&site->loop, UV_RUN_DEFAULT);
     ck_assert(!site->timed_out);
--- a/test/gateway/test_lateness.c
+++ b/test/gateway/test_lateness.c
@@ -1,4 +1,4 @@
-/* Lateness: each cause, and its order. */
+/* Each cause of a late response, and their precedence. */
 #include "base/xmalloc.h"
 #include "gateway/path/lateness.h"
 #include "test/suites.h"
--- a/test/gateway/test_lifetime.c
+++ b/test/gateway/test_lifetime.c
@@ -1,4 +1,4 @@
-/* When a backend server is gone, and when an instance ends. */
+/* Removal of backend servers and planned stop of an instance. */
 #include "base/xmalloc.h"
 #include "gateway/policy/removal.h"
 #include "gateway/policy/shutdown.h"
--- a/test/gateway/test_request_path.c
+++ b/test/gateway/test_request_path.c
@@ -1,4 +1,4 @@
-/* A gateway between a caller and scripted backend servers: what the caller gets, what they get. */
+/* Requests through a gateway between a caller and scripted backend servers. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -79,7 +79,7 @@
         ck_assert_int_eq(reply.status, 200);
         ck_assert(reply.whole);
         ck_assert_str_eq(reply.body, "hello");
-        /* Never more backends than the route allows. */
+        /* No more backends than the route allows. */
         set_all_behaviours(site, failing[i]);
         const size_t before = total_runs(site);
         ck_assert_int_ne(ask(site, "GET", "/safe/x").status, 200);
@@ -90,7 +90,7 @@
 
 START_TEST(backend_that_never_responds_is_avoided)
 {
-    /* It takes requests and answers none: others serve its objects after some of that. */
+    /* The backend accepts requests and never responds; others must take over its objects. */
     enum { LOST = 6 };
     site_t *site = new_ready_site(3);
     first_backend(site, "/safe/x")->behaviour = DOES_HOLD;
@@ -144,10 +144,10 @@
 }
 END_TEST
 
-/* Found on the users' bench: the work under way was broken off though nobody else could take it. */
+/* An overdue attempt was cancelled although no other backend could take the request. */
 START_TEST(overdue_attempt_continues_without_an_alternative)
 {
-    enum { HELD = 6 }; /* the failures of the first make the backend avoided */
+    enum { HELD = 6 }; /* the first failures make the backend avoided */
     site_t *site = new_ready_site(1);
     reply_t replies[HELD];
     set_all_behaviours(site, DOES_HOLD);
@@ -161,13 +161,13 @@
     }
     for (size_t i = 0; i < HELD; i++) {
         RUN_UNTIL(site, replies[i].done);
-        /* Given up at its time limit, and not before. */
+        /* Ended at its deadline, not before. */
         ck_assert_int_eq(replies[i].status, 504);
     }
 }
 END_TEST
 
-/* Found by reading: without an objective and before any answer, an attempt was overdue at once. */
+/* Without an objective and before any response, an attempt counted as overdue at once. */
 START_TEST(attempt_is_not_overdue_before_latency_is_known)
 {
     site_t *site = new_ready_site(2);
@@ -227,7 +227,7 @@
 }
 END_TEST
 
-/* The configuration bounds the bytes of a head, not the number of its fields. */
+/* The configuration limits the bytes of a head, not the number of its fields. */
 START_TEST(request_with_many_header_fields_is_forwarded)
 {
     enum { FIELDS = 150 };
@@ -259,7 +259,7 @@
 }
 END_TEST
 
-/* It starts again under its id while requests are under way there: whether they ran is unknown. */
+/* After a restart under the same id, it is unknown whether pending requests were executed. */
 START_TEST(restart_under_the_same_id_leaves_pending_requests_unknown)
 {
     site_t *site = new_ready_site(1);
@@ -276,7 +276,7 @@
     RUN_UNTIL(site, held.done);
     ck_assert(held.status == 502 || held.status == 504);
     ck_assert_uint_eq(backend->runs, 1);
-    /* The new life is used, and nothing of the old one speaks against it. */
+    /* The new process is used; failures of the old one do not count against it. */
     ck_assert_int_eq(ask(site, "POST", "/once/x").status, 200);
 }
 END_TEST
--- a/test/gateway/test_suspension.c
+++ b/test/gateway/test_suspension.c
@@ -1,5 +1,5 @@
-/* An instance whose machine was suspended, on the runtime's clock: the loop's own time stands still
- * meanwhile, and what is decided must not. */
+/* Instances suspended with their machine: the clock of the loop stands still meanwhile, but
+ * deadlines and ages must include the suspension. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -13,7 +13,7 @@
 #include "test/gateway/site.h"
 #include "test/suites.h"
 
-/* Below the patience of RUN_UNTIL, whose timer runs on the same loop. */
+/* LONG_MS is below PATIENCE_MS of RUN_UNTIL, whose timer runs on the same loop. */
 enum { LONG_MS = 6000, SOON_MS = 400 };
 
 static uint64_t
@@ -182,7 +182,7 @@
 }
 END_TEST
 
-/* What was learned of a backend server is as old as the time that passed. */
+/* Load, health, breaker and cold-start state of a backend expire during a suspension. */
 START_TEST(backend_state_ages_during_suspension)
 {
     uv_loop_t loop;
--- a/test/suites.h
+++ b/test/suites.h
@@ -1,4 +1,4 @@
-/* The unit tests' suites. The gateway's have a program of their own. */
+/* Test suites. The gateway's suites run in a separate program. */
 #pragma once
 
 #include <check.h>
