--- a/gateway/path/access_log.c
+++ b/gateway/path/access_log.c
@@ -66,7 +66,7 @@
              STR_ARG(access->id), access->fingerprint, outcome_name(access->outcome),
              access->status, or_dash(access->service), or_dash(access->account),
              or_dash(access->key), access->attempts, access->sends,
-             choice_reason_name(access->choice), passed_name(access->passed),
+             choice_reason_name(access->choice), passed_name(access->skip_reason),
              retry_verdict_name(access->retry), late_cause_name(access->late),
              or_dash(access->backend), (unsigned long long)access->elapsed_ms,
              (unsigned long long)access->left_ms, or_dash(access->config_version));
--- a/gateway/path/access_log.h
+++ b/gateway/path/access_log.h
@@ -26,7 +26,7 @@
     size_t attempts;
     uint32_t sends;         /* attempts that may have sent bytes */
     choice_reason_t choice; /* reason of the last choice */
-    passed_t passed;        /* why a preferred backend was skipped in the last choice */
+    passed_t skip_reason;   /* why a preferred backend was skipped in the last choice */
     retry_verdict_t retry;  /* result of the last retry decision */
     late_cause_t late;      /* why the response was late, LATE_NONE if it was not */
     uint64_t elapsed_ms;    /* since the first byte of the request */
--- a/gateway/path/completion.c
+++ b/gateway/path/completion.c
@@ -45,7 +45,7 @@
         .attempts = ex->tried_count,
         .sends = ex->sends,
         .choice = ex->choice.reason,
-        .passed = ex->choice.passed,
+        .skip_reason = ex->choice.passed,
         .retry = ex->retry,
         .late = outcome == OUTCOME_ANSWERED ? late_cause(ex, backend) : LATE_NONE,
         .elapsed_ms = exchange_now_ms(ex) - ex->req->begun_ms,
--- a/gateway/path/dispatch.c
+++ b/gateway/path/dispatch.c
@@ -7,7 +7,7 @@
 #include "gateway/path/completion.h"
 
 choice_t
-dispatch_choose(const exchange_t *ex, bool may_ask)
+dispatch_choose(const exchange_t *ex, bool may_request_permit)
 {
     const uint32_t given_up_in_ms =
         exchange_remaining_ms(ex) > 0 ? (uint32_t)exchange_remaining_ms(ex) : 1;
@@ -21,7 +21,7 @@
         .prior_wait_ms = ex->prior_wait_ms,
         .version = ex->required_version,
         .suspected = suspects_know(ex->owner->suspects, &ex->fingerprint),
-        .may_ask = may_ask && ex->permits_refused < PERMITS_REFUSED_MAX,
+        .may_request_permit = may_request_permit && ex->permits_refused < PERMITS_REFUSED_MAX,
         .tried = ex->tried,
         .tried_count = ex->tried_count,
     };
@@ -73,7 +73,7 @@
 }
 
 void
-dispatch_permit_late(exchange_t *ex)
+dispatch_on_permit_timeout(exchange_t *ex)
 {
     exchange_cancel_permit(ex, true);
     ex->permits_refused++;
@@ -147,7 +147,7 @@
 may_retry(exchange_t *ex)
 {
     const retry_input_t input = dispatch_retry_input(ex);
-    const retry_account_t account = router_retry_account(ex->owner->router, ex->service);
+    const retry_account_t account = router_retry_context(ex->owner->router, ex->service);
     ex->retry = retry_decide(&input, &account);
     return ex->retry == RETRY_YES;
 }
@@ -227,7 +227,7 @@
 dispatch_on_backend_notice(void *ctx, const backend_said_t *said, bool ran)
 {
     const exchange_t *ex = ctx;
-    const answer_notice_t notice = {.said = said, .sent_ms = ex->attempt.sent_ms, .ran = ran};
+    const response_notice_t notice = {.said = said, .sent_ms = ex->attempt.sent_ms, .ran = ran};
     router_apply_notice(ex->owner->router, exchange_last_tried(ex), &notice);
 }
 
--- a/gateway/path/dispatch.h
+++ b/gateway/path/dispatch.h
@@ -10,14 +10,14 @@
 
 #include "gateway/path/exchange_state.h"
 
-/* Chooses a backend. `may_ask`: it may be one that requires a permit. */
-choice_t dispatch_choose(const exchange_t *ex, bool may_ask);
+/* Chooses a backend. `may_request_permit`: it may be one that requires a permit. */
+choice_t dispatch_choose(const exchange_t *ex, bool may_request_permit);
 /* Starts an attempt on the given backend. */
 void dispatch_send(exchange_t *ex, backend_t *backend);
 /* Chooses a backend and starts an attempt, or refuses the request. */
 void dispatch_next(exchange_t *ex);
 /* Handles a permit request that timed out. */
-void dispatch_permit_late(exchange_t *ex);
+void dispatch_on_permit_timeout(exchange_t *ex);
 /* Resends a request whose connection was closed, after the delay. */
 void dispatch_resend(exchange_t *ex);
 /* Cancels the attempt in progress, if any. */
--- a/gateway/path/time_limit.c
+++ b/gateway/path/time_limit.c
@@ -28,7 +28,7 @@
         .sent = wire_call_stage(attempt->call) != WIRE_UNSENT,
         .backend_avoided = health_is_avoided(&attempt->backend->health, exchange_now_ms(ex)),
     };
-    const retry_account_t account = router_retry_account(ex->owner->router, ex->service);
+    const retry_account_t account = router_retry_context(ex->owner->router, ex->service);
     ex->retry = retry_decide_overdue(&input, &account);
     return ex->retry == RETRY_YES;
 }
@@ -67,7 +67,7 @@
         return;
     }
     if (ex->permit != NULL && exchange_now_ms(ex) >= ex->permit_wait_until_ms)
-        dispatch_permit_late(ex);
+        dispatch_on_permit_timeout(ex);
     else if (ex->resend_at_ms != 0 && exchange_now_ms(ex) >= ex->resend_at_ms)
         dispatch_resend(ex);
     else
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -237,7 +237,7 @@
     input.account = request->account;
     input.has_object = request->has_object;
     input.suspected = request->suspected;
-    input.may_ask = request->may_ask;
+    input.may_ask = request->may_request_permit;
     input.version = request->version;
     input.tried = request->tried;
     input.tried_count = request->tried_count;
@@ -277,7 +277,7 @@
 void
 router_count_request(router_t *router, service_t *service)
 {
-    const retry_account_t account = router_retry_account(router, service);
+    const retry_account_t account = router_retry_context(router, service);
     retry_budget_count_request(account.budget, &account.terms, account.now_ms);
 }
 
@@ -288,10 +288,10 @@
 }
 
 static void
-apply_rest(router_t *router, backend_t *backend, const answer_notice_t *notice)
+apply_backoff(router_t *router, backend_t *backend, const response_notice_t *notice)
 {
     const uint64_t now_ms = loop_now(router->loop);
-    const bool rested = backend->rest.until_ms > 0;
+    const bool was_in_backoff = backend->rest.until_ms > 0;
     if (notice->said->asks_rest) {
         if (!rest_is_on(&backend->rest, now_ms))
             LOG_INFO("backend asks for rest: id=%s rest_ms=%llu", backend->info.id.ptr,
@@ -300,15 +300,15 @@
         return;
     }
     rest_attempt_ended(&backend->rest, notice->sent_ms, notice->ran);
-    if (rested && backend->rest.until_ms == 0)
+    if (was_in_backoff && backend->rest.until_ms == 0)
         LOG_INFO("backend has rested: id=%s", backend->info.id.ptr);
 }
 
 void
-router_apply_notice(router_t *router, backend_t *backend, const answer_notice_t *notice)
+router_apply_notice(router_t *router, backend_t *backend, const response_notice_t *notice)
 {
     const backend_said_t *said = notice->said;
-    apply_rest(router, backend, notice);
+    apply_backoff(router, backend, notice);
     if (said->unusable > 0)
         catalog_count_unusable_notice(backend, said->unusable);
     /* A response that refuses the request may omit the limit, so only executed requests clear it.
@@ -360,7 +360,7 @@
 }
 
 retry_account_t
-router_retry_account(router_t *router, service_t *service)
+router_retry_context(router_t *router, service_t *service)
 {
     return (retry_account_t){
         .budget = &service->retries,
--- a/gateway/router.h
+++ b/gateway/router.h
@@ -67,7 +67,7 @@
     double prior_wait_ms; /* time already spent on refused requests, from router_record_caller() */
     uint64_t version;     /* use only backends of this software version; 0 for any */
     bool suspected;       /* a backend server crashed while running it */
-    bool may_ask;         /* a backend that needs a permit may be chosen (policy/pass_over.h) */
+    bool may_request_permit; /* a backend that needs a permit may be chosen (policy/pass_over.h) */
     backend_t *const *tried;
     size_t tried_count;
 } router_request_t;
@@ -112,8 +112,8 @@
     const backend_said_t *said;
     uint64_t sent_ms; /* loop time at which its request was sent */
     bool ran;         /* the backend executed that request */
-} answer_notice_t;
-void router_apply_notice(router_t *router, backend_t *backend, const answer_notice_t *notice);
+} response_notice_t;
+void router_apply_notice(router_t *router, backend_t *backend, const response_notice_t *notice);
 /* Count an attempt as started and finished; `sent_ms` is the loop time at which it was sent. */
 void router_attempt_started(router_t *router, service_t *service, backend_t *backend);
 void router_attempt_finished(router_t *router, service_t *service, backend_t *backend,
@@ -125,4 +125,4 @@
  * */
 uint32_t router_slow_ms(router_t *router, const config_route_t *route);
 /* Returns the retry budget of a service. */
-retry_account_t router_retry_account(router_t *router, service_t *service);
+retry_account_t router_retry_context(router_t *router, service_t *service);
