--- a/gateway/gateway_events.c
+++ b/gateway/gateway_events.c
@@ -161,7 +161,7 @@
         view_relay_on_request(&gateway->view_relay, conn, message->view_request);
         break;
     default:
-        LOG_WARN("message of an unknown kind: kind=%d", (int)message->body_case);
+        LOG_WARN("peer message of unknown type: kind=%d", (int)message->body_case);
         break;
     }
 }
--- a/gateway/path/access_log.c
+++ b/gateway/path/access_log.c
@@ -14,7 +14,7 @@
 {
     char labels[LABELS_MAX];
     snprintf(labels, sizeof(labels), "outcome=\"%s\"", outcome_name(outcome));
-    counter_add(counter_get("irisstall_requests_total", labels, "Requests by their outcome."), 1);
+    counter_add(counter_get("irisstall_requests_total", labels, "Requests by outcome."), 1);
 }
 
 static void
@@ -26,7 +26,7 @@
     snprintf(labels, sizeof(labels), "service=\"%s\",cause=\"%s\"", access->service,
              late_cause_name(access->late));
     counter_add(counter_get("irisstall_late_total", labels,
-                            "Answers later than the route's latency objective, by cause."),
+                            "Responses later than the latency objective of the route, by cause."),
                 1);
 }
 
--- a/gateway/path/end_check.c
+++ b/gateway/path/end_check.c
@@ -30,9 +30,11 @@
 static void
 count_outcome(const char *labels)
 {
-    counter_add(counter_get("irisstall_end_checks_total", labels,
-                            "Checks whether a backend server ended when a connection to it broke."),
-                1);
+    counter_add(
+        counter_get(
+            "irisstall_end_checks_total", labels,
+            "Checks whether a backend server ended after a connection to it broke, by outcome."),
+        1);
 }
 
 static void on_outcome(void *ctx, reach_t outcome);
@@ -59,7 +61,7 @@
     if (outcome == REACH_REFUSED) {
         const size_t requests = suspects_confirm(check->suspects, life, loop_now(check->loop));
         count_outcome("outcome=\"ended\"");
-        LOG_INFO("backend ended: id=%s requests=%zu", backend->info.id.ptr, requests);
+        LOG_INFO("backend process ended: id=%s requests=%zu", backend->info.id.ptr, requests);
     } else {
         suspects_take_back(check->suspects, life);
         count_outcome(outcome == REACH_CONNECTED ? "outcome=\"lives\"" : "outcome=\"unknown\"");
--- a/gateway/path/time_limit.c
+++ b/gateway/path/time_limit.c
@@ -50,8 +50,8 @@
     backend_t *other = choice.backend;
     if (other == NULL)
         return;
-    LOG_INFO("attempt abandoned: id=%.*s backend=%s after_ms=%llu for=%s", STR_ARG(ex->metadata.id),
-             attempt->backend->info.id.ptr,
+    LOG_INFO("overdue attempt replaced: id=%.*s backend=%s after_ms=%llu for=%s",
+             STR_ARG(ex->metadata.id), attempt->backend->info.id.ptr,
              (unsigned long long)(exchange_now_ms(ex) - attempt->sent_ms), other->info.id.ptr);
     dispatch_cancel(ex);
     ex->choice = choice;
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -68,8 +68,9 @@
     if (fabs(share - plan->logged) < PLAN_LOG_STEP)
         return;
     plan->logged = share;
-    LOG_INFO("plan: service=%s own_share=%.2f room=%.0f demand=%.1f peak=%.1f", service->name.ptr,
-             share, input->room[region], input->demand[region], plan->peak[region]);
+    LOG_INFO("region plan changed: service=%s own_share=%.2f room=%.0f demand=%.1f peak=%.1f",
+             service->name.ptr, share, input->room[region], input->demand[region],
+             plan->peak[region]);
 }
 
 static void
@@ -294,14 +295,14 @@
     const bool was_in_backoff = backend->rest.until_ms > 0;
     if (notice->said->asks_rest) {
         if (!rest_is_on(&backend->rest, now_ms))
-            LOG_INFO("backend asks for rest: id=%s rest_ms=%llu", backend->info.id.ptr,
+            LOG_INFO("backend requested backoff: id=%s rest_ms=%llu", backend->info.id.ptr,
                      (unsigned long long)notice->said->rest_ms);
         rest_ask(&backend->rest, notice->said->rest_ms, now_ms);
         return;
     }
     rest_attempt_ended(&backend->rest, notice->sent_ms, notice->ran);
     if (was_in_backoff && backend->rest.until_ms == 0)
-        LOG_INFO("backend has rested: id=%s", backend->info.id.ptr);
+        LOG_INFO("backend backoff ended: id=%s", backend->info.id.ptr);
 }
 
 void
--- a/gateway/settings.c
+++ b/gateway/settings.c
@@ -113,10 +113,10 @@
     for (unsigned i = 0; i < raw->places_count; i++) {
         const raw_place_t *place = &raw->places[i];
         if (!topology_add(&out->topology, str_from(place->place), str_from(place->region)))
-            return invalid(err, "places", place->place, "a name, and a region's name");
+            return invalid(err, "places", place->place, "a name and a region name");
     }
     if (topology_region_of(&out->topology, name_str(&out->hall)) == TOPOLOGY_NO_REGION)
-        return invalid(err, "place", out->hall.ptr, "one of places");
+        return invalid(err, "place", out->hall.ptr, "one of the entries of places");
     return true;
 }
 
