--- a/test/gateway/test_suspension.c
+++ b/test/gateway/test_suspension.c
@@ -1,4 +1,4 @@
-/* Instances suspended with their machine: the clock of the loop stands still meanwhile, but
+/* Instances suspended with their machine: the clock of the loop stops meanwhile, but
  * deadlines and ages must include the suspension. */
 #include <stdio.h>
 #include <stdlib.h>
