--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -26,11 +26,11 @@
     char labels[32];
     snprintf(labels, sizeof(labels), "state=\"%s\"", state);
     counter_set(counter_get("irisstall_upstreams_in_state", labels,
-                            "Upstreams that get no request, few, or only if others can't."),
+                            "Backend servers with restricted use, by state."),
                 value);
 }
 
-/* States of the backends; one may be in several. */
+/* Sets the gauges of backend states; a backend may be in several. */
 static void
 set_backend_gauges(const router_t *router)
 {
@@ -67,15 +67,15 @@
         const service_t *service = router->services.items[i];
         snprintf(labels, sizeof(labels), "service=\"%s\"", service->name.ptr);
         counter_set(counter_get("irisstall_own_region_share_percent", labels,
-                                "Share of the callers' requests planned for the own region."),
+                                "Percentage of requests planned for the own region."),
                     (int64_t)(PERCENT * service->plan.share[service->plan.own]));
         counter_set(counter_get("irisstall_slots_use_percent", labels,
-                                "Highest demand lately measured, as a share of all slots."),
+                                "Recent peak demand as a percentage of all slots."),
                     (int64_t)(PERCENT * region_plan_use(&service->plan)));
     }
 }
 
-/* How old the last change of each kind of view was when it came into force here. */
+/* Sets the gauges for the delay between a change of a view and its activation. */
 static void
 set_age_gauges(const views_t *views)
 {
@@ -86,15 +86,15 @@
     };
     for (view_kind_t kind = 0; kind < VIEW_WATCHED; kind++) {
         counter_set(counter_get("irisstall_in_force_after_ms", kinds[kind],
-                                "Age of the last change when it came into force, milliseconds."),
+                                "Age of the last change in milliseconds when it took effect."),
                     views->ages[kind].last_ms);
         counter_set(counter_get("irisstall_in_force_after_max_ms", kinds[kind],
-                                "The highest of these ages since the start."),
+                                "Maximum age in milliseconds of a change when it took effect."),
                     views->ages[kind].highest_ms);
     }
 }
 
-/* Sums only: accounts come and go, and would each be a line for ever. */
+/* Totals only: metrics are never removed, so one per account would accumulate. */
 static void
 set_account_gauges(const account_sync_t *accounts)
 {
@@ -105,49 +105,49 @@
         limited += uses->items[i]->gate.limited;
         silent += !account_use_in_touch(uses->items[i], loop_now(accounts->conf.loop));
     }
-    set_gauge("irisstall_accounts_in_use", "Client accounts with a limit whose callers came here.",
-              (int64_t)uses->count);
-    set_gauge("irisstall_accounts_at_limit", "Of these, accounts whose instances are held.",
+    set_gauge("irisstall_accounts_in_use",
+              "Limited client accounts with requests on this instance.", (int64_t)uses->count);
+    set_gauge("irisstall_accounts_at_limit", "Limited client accounts that are at their limit.",
               limited);
-    set_gauge("irisstall_accounts_owner_silent", "Of these, accounts whose owner gives no answer.",
-              silent);
-    set_gauge("irisstall_accounts_owned", "Client accounts whose ledger is here.",
+    set_gauge("irisstall_accounts_owner_silent",
+              "Limited client accounts whose owner does not respond.", silent);
+    set_gauge("irisstall_accounts_owned", "Client accounts owned by this instance.",
               (int64_t)accounts->ledgers.count);
 }
 
 static void
-answer_metrics(const admin_t *admin, wire_request_t *req)
+respond_metrics(const admin_t *admin, wire_request_t *req)
 {
     const router_t *router = admin->router;
-    set_gauge("irisstall_config_revision", "Store revision of the configuration in force.",
+    set_gauge("irisstall_config_revision", "Store revision of the active configuration.",
               router->catalog.config != NULL ? (int64_t)router->catalog.config->revision : 0);
     set_gauge("irisstall_config_refused_revision",
-              "Store revision of a newer configuration that could not be used, 0: none.",
+              "Store revision of a newer configuration that was rejected, 0 if none.",
               (int64_t)router->catalog.refused.revision);
     set_gauge("irisstall_config_left_out",
-              "Routes and services of the configuration in force that could not be read.",
+              "Routes and services of the active configuration that could not be decoded.",
               router->catalog.config != NULL ? (int64_t)config_left_out(router->catalog.config)
                                              : 0);
-    set_gauge("irisstall_instances_living", "Instances heard of, this one too.", router->living);
-    set_gauge("irisstall_upstreams", "Upstreams known.", (int64_t)router->catalog.backends.count);
-    set_gauge("irisstall_entries_unusable",
-              "Entries of the store that name no backend server to use.",
+    set_gauge("irisstall_instances_living", "Live instances, including this one.",
+              router->live_instances);
+    set_gauge("irisstall_upstreams", "Known backend servers.",
+              (int64_t)router->catalog.backends.count);
+    set_gauge("irisstall_entries_unusable", "Store entries without a usable backend server.",
               (int64_t)router->catalog.unusable_count);
     set_age_gauges(admin->views);
     set_backend_gauges(router);
     set_plan_gauges(router);
     set_gauge("irisstall_requests_held",
-              "Requests and families refused now, as backend servers ended under them.",
+              "Requests and families refused because backend servers ended while running them.",
               (int64_t)suspects_held(admin->suspects, loop_now(router->loop)));
-    set_gauge("irisstall_suspects", "Requests and families under which backend servers ended.",
+    set_gauge("irisstall_suspects", "Requests and families during which backend servers ended.",
               (int64_t)admin->suspects->count);
     set_account_gauges(admin->accounts);
-    set_gauge("irisstall_requests_active", "Requests under way.",
+    set_gauge("irisstall_requests_active", "Requests in progress.",
               (int64_t)admin->exchanges->active);
-    set_gauge("irisstall_caller_connections", "Open connections of callers.",
+    set_gauge("irisstall_caller_connections", "Open caller connections.",
               (int64_t)wire_listener_connections(admin->callers));
-    set_gauge("irisstall_log_lines_dropped", "Log lines that were dropped.",
-              (int64_t)log_dropped());
+    set_gauge("irisstall_log_lines_dropped", "Dropped log lines.", (int64_t)log_dropped());
     size_t len;
     char *text = counter_expose(&len);
     wire_respond(req, HTTP_STATUS_OK, STR("Content-Type: text/plain; version=0.0.4\r\n"),
@@ -156,7 +156,7 @@
 }
 
 static void
-answer_status(const admin_t *admin, wire_text_t *out)
+write_status(const admin_t *admin, wire_text_t *out)
 {
     const inspect_status_t status = {
         .router = admin->router,
@@ -169,9 +169,9 @@
     inspect_status(&status, out);
 }
 
-/* Lifts what is held against a request or family, at all instances. */
+/* Lifts the quarantine of a request or family, on all instances. */
 static void
-answer_lift(const admin_t *admin, wire_request_t *req)
+handle_quarantine_lift(const admin_t *admin, wire_request_t *req)
 {
     const str_t text = wire_head_query(&req->head, STR("request"));
     char digits[FINGERPRINT_DIGITS + 1];
@@ -181,31 +181,30 @@
     const uint64_t fingerprint = strtoull(digits, &end, 16);
     const bool valid = text.len > 0 && text.len <= FINGERPRINT_DIGITS && *end == '\0' && errno == 0;
     if (!valid)
-        wire_respond(req, HTTP_STATUS_BAD_REQUEST, STR(""), STR("not a request's fingerprint\n"));
+        wire_respond(req, HTTP_STATUS_BAD_REQUEST, STR(""), STR("invalid request fingerprint\n"));
     else if (suspects_lift(admin->suspects, fingerprint, loop_now(admin->router->loop)))
         wire_respond(req, HTTP_STATUS_OK, STR(""), STR("lifted\n"));
     else
-        wire_respond(req, HTTP_STATUS_NOT_FOUND, STR(""),
-                     STR("nothing is held against that request\n"));
+        wire_respond(req, HTTP_STATUS_NOT_FOUND, STR(""), STR("request is not quarantined\n"));
 }
 
 void
-admin_answer(const admin_t *admin, wire_request_t *req)
+admin_handle_request(const admin_t *admin, wire_request_t *req)
 {
     const str_t path = wire_head_path(&req->head);
     wire_text_t text = {0};
     if (str_eq(path, STR("/metrics"))) {
-        answer_metrics(admin, req);
+        respond_metrics(admin, req);
         return;
     }
     if (str_eq(path, STR("/quarantine/lift")) && req->head.method == HTTP_POST) {
-        answer_lift(admin, req);
+        handle_quarantine_lift(admin, req);
         return;
     }
     if (str_eq(path, STR("/table")))
         inspect_table(admin->router, wire_head_query(&req->head, STR("service")), &text);
     else if (str_eq(path, STR("/status")))
-        answer_status(admin, &text);
+        write_status(admin, &text);
     else if (str_eq(path, STR("/quarantine")))
         inspect_suspects(admin->suspects, loop_now(admin->router->loop), &text);
     else if (str_eq(path, STR("/accounts")))
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -10,13 +10,13 @@
 #include "gateway/endpoints.h"
 #include "gateway/gateway_state.h"
 
-/* ---- questions from outside ---- */
+/* ---- request handlers ---- */
 
 static void
 on_caller_request(void *ctx, wire_request_t *req)
 {
     gateway_t *gateway = ctx;
-    if (!resume_takes(&gateway->resume, req))
+    if (!resume_queue_request(&gateway->resume, req))
         exchange_start(&gateway->exchanges, req);
 }
 
@@ -29,10 +29,10 @@
 }
 
 static void
-on_directory_question(void *ctx, wire_request_t *req)
+on_directory_request(void *ctx, wire_request_t *req)
 {
     const gateway_t *gateway = ctx;
-    if (resume_is_behind(&gateway->resume)) {
+    if (resume_is_stale(&gateway->resume)) {
         wire_respond(req, HTTP_STATUS_SERVICE_UNAVAILABLE, STR(""), STR(""));
         return;
     }
@@ -46,7 +46,7 @@
 }
 
 static void
-on_admin_question(void *ctx, wire_request_t *req)
+on_admin_request(void *ctx, wire_request_t *req)
 {
     gateway_t *gateway = ctx;
     const admin_t admin = {
@@ -60,11 +60,11 @@
         .accounts = &gateway->account_news,
         .callers = gateway->listeners.callers,
     };
-    admin_answer(&admin, req);
+    admin_handle_request(&admin, req);
 }
 
 static void
-serve_waiting(void *ctx, wire_request_t *req)
+serve_delayed(void *ctx, wire_request_t *req)
 {
     gateway_t *gateway = ctx;
     exchange_start(&gateway->exchanges, req);
@@ -104,8 +104,8 @@
     const listener_handlers_t handlers = {
         .callers = on_caller_request,
         .readiness = on_readiness_check,
-        .directory = on_directory_question,
-        .admin = on_admin_question,
+        .directory = on_directory_request,
+        .admin = on_admin_request,
         .ctx = gateway,
     };
     addr_t *peer = &gateway->settings.peer;
@@ -157,7 +157,7 @@
     view_relay_init(&gateway->view_relay, &relay_conf);
 }
 
-/* What backend servers tell of themselves, and what follows of it between instances. */
+/* Initialises notices from backend servers and their exchange between instances. */
 static void
 init_notices(gateway_t *gateway)
 {
@@ -252,7 +252,7 @@
         free(gateway);
         return NULL;
     }
-    deferred_init(&gateway->config_work, loop, gateway_apply_config, gateway);
+    deferred_init(&gateway->config_update, loop, gateway_apply_config, gateway);
     init_views(gateway);
     init_notices(gateway);
     init_membership(gateway);
@@ -261,7 +261,7 @@
     const resume_conf_t resume_conf = {
         .loop = loop,
         .on_resumed = gateway_on_resumed,
-        .serve = serve_waiting,
+        .serve = serve_delayed,
         .ctx = gateway,
     };
     resume_init(&gateway->resume, &resume_conf);
@@ -300,9 +300,9 @@
 }
 
 unsigned
-gateway_living(const gateway_t *gateway)
+gateway_live_instances(const gateway_t *gateway)
 {
-    return gateway->router.living;
+    return gateway->router.live_instances;
 }
 
 size_t
--- a/gateway/gateway_news.c
+++ b/gateway/gateway_events.c
@@ -10,7 +10,7 @@
 gateway_compare_config(gateway_t *gateway)
 {
     const view_t *view = &gateway->views.items[VIEW_CONFIG];
-    const uint64_t here = gateway->config_work.asked_for ? view->at : 0;
+    const uint64_t here = gateway->config_update.is_pending ? view->at : 0;
     const uint64_t theirs = members_newer_view(&gateway->members, VIEW_CONFIG, view->at,
                                                view->digest, loop_now(gateway->loop));
     gateway->router.catalog.newer_at = theirs > here ? theirs : here;
@@ -29,7 +29,7 @@
 }
 
 static bool
-knows_all_views(const views_t *views)
+has_all_views(const views_t *views)
 {
     for (view_kind_t kind = 0; kind < VIEW_WATCHED; kind++) {
         if (!views->items[kind].known)
@@ -38,14 +38,14 @@
     return true;
 }
 
-/* Started instances ask those that have the views, and hear of them with a heartbeat: the next one
- * may be 0.4 s away. Not measured alone. */
+/* Sends a heartbeat as soon as all views are known, because starting peers request views only from
+ * instances that announced them; the next regular heartbeat may be 0.4 s away. */
 static void
-tell_first_views(gateway_t *gateway)
+announce_first_views(gateway_t *gateway)
 {
-    if (gateway->told_views || !knows_all_views(&gateway->views))
+    if (gateway->views_announced || !has_all_views(&gateway->views))
         return;
-    gateway->told_views = true;
+    gateway->views_announced = true;
     heartbeat_send(&gateway->heartbeat, loop_now(gateway->loop));
 }
 
@@ -59,8 +59,8 @@
     store_watch_view_changed(&gateway->store_watch);
     switch (kind) {
     case VIEW_CONFIG:
-        deferred_ask(&gateway->config_work);
-        break; /* in force in gateway_apply_config() */
+        deferred_schedule(&gateway->config_update);
+        break; /* applied in gateway_apply_config() */
     case VIEW_BACKENDS:
         catalog_apply_backends(catalog, view, store_watch_outage_state(&gateway->store_watch));
         catalog_apply_closures(catalog, &gateway->views.items[VIEW_CLOSURES]);
@@ -74,7 +74,7 @@
     if (kind != VIEW_CONFIG)
         view_age_in_force(&gateway->views.ages[kind], loop_now(gateway->loop));
     gateway_compare_config(gateway);
-    tell_first_views(gateway);
+    announce_first_views(gateway);
 }
 
 void
@@ -84,7 +84,7 @@
     view_push_changed(&gateway->view_push, delta, &gateway->router.catalog.fresh);
 }
 
-/* Names that no backend server can have are left out. */
+/* Applies departures of backend servers from a peer; entries with invalid names are skipped. */
 static void
 on_departures(gateway_t *gateway, const Iris__Departures *message)
 {
@@ -122,7 +122,7 @@
     case IRIS__ENVELOPE__BODY_GATEWAY:
         heartbeat_receive(&gateway->heartbeat, message->gateway, loop_now(gateway->loop));
         gateway_compare_config(gateway);
-        resume_heard(&gateway->resume);
+        resume_on_peer_update(&gateway->resume);
         break;
     case IRIS__ENVELOPE__BODY_VIEW_UPDATE:
         view_relay_on_update(&gateway->view_relay, conn, message->view_update);
@@ -161,7 +161,7 @@
         view_relay_on_request(&gateway->view_relay, conn, message->view_request);
         break;
     default:
-        LOG_WARN("message of an unknown kind: kind=%d", (int)message->body_case);
+        LOG_WARN("peer message of unknown type: kind=%d", (int)message->body_case);
         break;
     }
 }
--- a/gateway/inspect.c
+++ b/gateway/inspect.c
@@ -3,7 +3,7 @@
 #include "gateway/inspect.h"
 #include "base/loop_time.h"
 
-/* What a row of the table sums up. */
+/* Totals of one table row. */
 typedef struct {
     unsigned backends;
     unsigned ready;
@@ -92,21 +92,21 @@
                      member->hall.ptr, state, (unsigned long long)(now - member->heard_ms));
 }
 
-/* What is known of the newest configuration that is not in force. */
+/* Writes why the newest known configuration is not fully in force. */
 static void
-print_missing_config(const catalog_t *catalog, wire_text_t *out)
+print_config_problems(const catalog_t *catalog, wire_text_t *out)
 {
     const refused_config_t *refused = &catalog->refused;
     const size_t left_out = catalog->config != NULL ? config_left_out(catalog->config) : 0;
     if (left_out > 0)
-        wire_text_printf(out, "configuration in force without %zu parts that could not be read\n",
+        wire_text_printf(out, "active configuration lacks %zu parts that could not be decoded\n",
                          left_out);
     if (refused->revision > 0)
         wire_text_printf(out, "configuration refused: revision %llu, %s: %s\n",
                          (unsigned long long)refused->revision, err_name(refused->err.code),
                          refused->err.detail);
     if (catalog->newer_at > 0)
-        wire_text_printf(out, "configuration behind: a peer's is as of revision %llu\n",
+        wire_text_printf(out, "configuration outdated: newer revision %llu is known\n",
                          (unsigned long long)catalog->newer_at);
 }
 
@@ -120,8 +120,8 @@
     };
     for (view_kind_t kind = 0; kind < VIEW_WATCHED; kind++) {
         const view_age_t *age = &views->ages[kind];
-        wire_text_printf(out, "%s: last change in force after %u ms, at most %u ms\n", kinds[kind],
-                         age->last_ms, age->highest_ms);
+        wire_text_printf(out, "%s: last change took effect after %u ms, at most %u ms\n",
+                         kinds[kind], age->last_ms, age->highest_ms);
     }
 }
 
@@ -137,14 +137,14 @@
     wire_text_printf(out, "configuration %s revision %llu\n",
                      config != NULL ? config->version : "-",
                      (unsigned long long)(config != NULL ? config->revision : 0));
-    print_missing_config(&router->catalog, out);
+    print_config_problems(&router->catalog, out);
     if (age_ms == STORE_AGE_NONE)
         wire_text_str(out, STR("store followed by peers\n"));
     else
         wire_text_printf(out, "store followed here, last answer %u ms ago\n", age_ms);
     print_ages(status->views, out);
     if (router->catalog.unusable_count > 0)
-        wire_text_printf(out, "entries that name no backend server to use: %zu\n",
+        wire_text_printf(out, "store entries without a usable backend server: %zu\n",
                          router->catalog.unusable_count);
     for (size_t i = 0; i < status->members->count; i++) {
         if (status->members->items[i].heard)
@@ -152,20 +152,20 @@
     }
 }
 
-/* What the backend tells of itself, and how much was sent there. */
+/* Writes the notices of a backend and the number of requests sent to it. */
 static void
-print_told(const backend_t *backend, uint64_t now, wire_text_t *out)
+print_backend_notices(const backend_t *backend, uint64_t now, wire_text_t *out)
 {
     wire_text_printf(out, ", sent %llu", (unsigned long long)backend->sends);
     if (backend->limit.named)
-        wire_text_printf(out, ", takes %g/s, as told %llu ms ago", backend->limit.per_s,
+        wire_text_printf(out, ", limit %g/s, declared %llu ms ago", backend->limit.per_s,
                          (unsigned long long)(now - backend->limit.said_ms));
     if (backend->says_leaving)
-        wire_text_str(out, STR(", told that it leaves"));
+        wire_text_str(out, STR(", announced that it leaves"));
 }
 
 static const char *
-why_not(const backend_t *backend, uint64_t now)
+backend_state_text(const backend_t *backend, uint64_t now)
 {
     if (!backend->listed || backend->departed)
         return "gone";
@@ -177,9 +177,9 @@
         return "paused after failures";
     switch (backend_skip_reason(backend, true, now)) {
     case SKIP_BACKOFF:
-        return "rests, as it asked for";
+        return "in requested backoff";
     case SKIP_RATE_LIMITED:
-        return "at the limit that it names";
+        return "at its declared limit";
     default:
         break;
     }
@@ -195,7 +195,7 @@
     const uint64_t now = loop_now(router->loop);
     const choice_input_t input = router_explain_input(router, route, name_str(name), object);
     const choice_t choice = choice_make(&input);
-    wire_text_printf(out, "  would go to %s, reason %s, passed over before it: %s\n",
+    wire_text_printf(out, "  would choose %s, reason %s, skipped: %s\n",
                      choice.backend != NULL ? choice.backend->info.id.ptr : "none",
                      choice_reason_name(choice.reason), skip_reason_name(choice.skip_reason));
     for (size_t i = 0; i < router->catalog.backends.count; i++) {
@@ -204,8 +204,9 @@
             continue;
         wire_text_printf(out, "  %-24s %-16s load %.1f of %u, work %.0f ms, %s",
                          backend->info.id.ptr, backend->info.hall.ptr, backend_load(backend, now),
-                         backend->info.capacity, backend->work_ms, why_not(backend, now));
-        print_told(backend, now, out);
+                         backend->info.capacity, backend->work_ms,
+                         backend_state_text(backend, now));
+        print_backend_notices(backend, now, out);
         wire_text_str(out, STR("\n"));
     }
 }
@@ -219,10 +220,10 @@
         wire_text_str(out, STR("no route\n"));
         return;
     }
-    wire_text_printf(out, "route %s, prefix %.200s, %s, aim %u ms, limit %u ms, attempts %u\n",
-                     route->name.ptr, route->prefix,
-                     route->repeatable ? "may be repeated" : "runs at most once", route->aim_ms,
-                     route->timeout_ms, route->max_attempts);
+    wire_text_printf(
+        out, "route %s, prefix %.200s, %s, objective %u ms, timeout %u ms, attempts %u\n",
+        route->name.ptr, route->prefix, route->repeatable ? "may be repeated" : "runs at most once",
+        route->aim_ms, route->timeout_ms, route->max_attempts);
     for (size_t i = 0; i < route->target_count; i++) {
         wire_text_printf(out, "service %s, weight %g\n", route->targets[i].service.ptr,
                          route->targets[i].weight);
--- a/gateway/path/access_log.c
+++ b/gateway/path/access_log.c
@@ -6,8 +6,7 @@
 #include "base/log.h"
 #include "gateway/path/access_log.h"
 
-/* Of the requests that went without trouble, of those that were only late, and of those that were
- * held, one in this many is logged. Chosen, not measured. */
+/* Sampling: one request in this many is logged if it succeeded, was only late, or was held. */
 enum { LOG_EVERY = 64, LOG_LATE_EVERY = 16, LOG_HELD_EVERY = 16, LABELS_MAX = 64 };
 
 static void
@@ -15,36 +14,36 @@
 {
     char labels[LABELS_MAX];
     snprintf(labels, sizeof(labels), "outcome=\"%s\"", outcome_name(outcome));
-    counter_add(counter_get("irisstall_requests_total", labels, "Requests by their outcome."), 1);
+    counter_add(counter_get("irisstall_requests_total", labels, "Requests by outcome."), 1);
 }
 
 static void
-count_late(const access_t *access)
+count_late(const access_record_t *access)
 {
     char labels[LABELS_MAX + NAME_MAX_LEN];
-    if (access->late == LATE_NOT)
+    if (access->late == LATE_NONE)
         return;
     snprintf(labels, sizeof(labels), "service=\"%s\",cause=\"%s\"", access->service,
              late_cause_name(access->late));
     counter_add(counter_get("irisstall_late_total", labels,
-                            "Answers later than the route's latency objective, by cause."),
+                            "Responses later than the latency objective of the route, by cause."),
                 1);
 }
 
-/* True if the request is one of those that are not logged. */
+/* Returns true if sampling drops the request from the log. */
 static bool
-is_left_out(const access_t *access)
+is_sampled_out(const access_record_t *access)
 {
-    static unsigned untroubled;
+    static unsigned successful;
     static unsigned late;
     static unsigned held;
     if (access->outcome == OUTCOME_QUARANTINED)
         return held++ % LOG_HELD_EVERY != 0;
     if (access->outcome != OUTCOME_ANSWERED || access->attempts != 1)
         return false;
-    if (access->late != LATE_NOT)
+    if (access->late != LATE_NONE)
         return ++late % LOG_LATE_EVERY != 0;
-    return ++untroubled % LOG_EVERY != 0;
+    return ++successful % LOG_EVERY != 0;
 }
 
 static const char *
@@ -54,11 +53,11 @@
 }
 
 void
-access_log(const access_t *access)
+access_log(const access_record_t *access)
 {
     count_outcome(access->outcome);
     count_late(access);
-    if (is_left_out(access))
+    if (is_sampled_out(access))
         return;
     LOG_INFO("request ended: id=%.*s request=%016" PRIx64 " outcome=%s status=%d service=%s "
              "account=%s key=%s "
@@ -67,7 +66,7 @@
              STR_ARG(access->id), access->fingerprint, outcome_name(access->outcome),
              access->status, or_dash(access->service), or_dash(access->account),
              or_dash(access->key), access->attempts, access->sends,
-             choice_reason_name(access->choice), skip_reason_name(access->passed),
+             choice_reason_name(access->choice), skip_reason_name(access->skip_reason),
              retry_verdict_name(access->retry), late_cause_name(access->late),
              or_dash(access->backend), (unsigned long long)access->elapsed_ms,
              (unsigned long long)access->left_ms, or_dash(access->config_version));
--- a/gateway/path/time_limit.c
+++ b/gateway/path/time_limit.c
@@ -1,11 +1,11 @@
-/* Its lines in the log are the exchange's. */
+/* logged under the module name of the exchange */
 #define LOG_MODULE "exchange"
 #include "base/log.h"
 #include "gateway/path/dispatch.h"
-#include "gateway/path/ending.h"
+#include "gateway/path/completion.h"
 #include "gateway/path/time_limit.h"
 
-/* The deadline has come. */
+/* Ends the exchange at its deadline. */
 static void
 give_up(exchange_t *ex)
 {
@@ -13,12 +13,12 @@
         attempt_record(&ex->attempt, true);
     dispatch_cancel(ex);
     if (ex->attempt.streaming)
-        ending_cut(ex, OUTCOME_CUT_AT_DEADLINE);
+        completion_abort(ex, OUTCOME_CUT_AT_DEADLINE);
     else
-        ending_refuse(ex, OUTCOME_TIMEOUT);
+        completion_refuse(ex, OUTCOME_TIMEOUT);
 }
 
-/* True if the overdue attempt may be broken off in favour of another one. */
+/* Returns true if the overdue attempt may be replaced by another one. */
 static bool
 may_replace_overdue(exchange_t *ex)
 {
@@ -28,18 +28,18 @@
         .sent = wire_call_stage(attempt->call) != WIRE_UNSENT,
         .backend_avoided = health_is_avoided(&attempt->backend->health, exchange_now_ms(ex)),
     };
-    const retry_context_t account = router_retry_account(ex->owner->router, ex->service);
+    const retry_context_t account = router_retry_context(ex->owner->router, ex->service);
     ex->retry = retry_decide_overdue(&input, &account);
     return ex->retry == RETRY_YES;
 }
 
-/* The attempt takes far longer than usual. It is broken off only once another backend has taken the
- * request: if none does, its own backend may still answer. */
+/* Handles an overdue attempt. It is cancelled only if another backend is available; otherwise its
+ * own backend may still answer. */
 static void
 on_overdue(exchange_t *ex)
 {
     attempt_t *attempt = &ex->attempt;
-    ex->overdue_ms = 0;
+    ex->overdue_at_ms = 0;
     if (attempt->call == NULL || attempt->head_seen)
         return;
     if (attempt_is_slow(attempt))
@@ -50,8 +50,8 @@
     backend_t *other = choice.backend;
     if (other == NULL)
         return;
-    LOG_INFO("attempt abandoned: id=%.*s backend=%s after_ms=%llu for=%s", STR_ARG(ex->terms.id),
-             attempt->backend->info.id.ptr,
+    LOG_INFO("overdue attempt replaced: id=%.*s backend=%s after_ms=%llu for=%s",
+             STR_ARG(ex->metadata.id), attempt->backend->info.id.ptr,
              (unsigned long long)(exchange_now_ms(ex) - attempt->sent_ms), other->info.id.ptr);
     dispatch_cancel(ex);
     ex->choice = choice;
@@ -62,13 +62,13 @@
 time_limit_on_timer(uv_timer_t *timer)
 {
     exchange_t *ex = timer->data;
-    if (exchange_now_ms(ex) >= ex->end_ms) {
+    if (exchange_now_ms(ex) >= ex->deadline_at_ms) {
         give_up(ex);
         return;
     }
-    if (ex->permit != NULL && exchange_now_ms(ex) >= ex->permit_until_ms)
-        dispatch_permit_late(ex);
-    else if (ex->resend_ms != 0 && exchange_now_ms(ex) >= ex->resend_ms)
+    if (ex->permit != NULL && exchange_now_ms(ex) >= ex->permit_wait_until_ms)
+        dispatch_on_permit_timeout(ex);
+    else if (ex->resend_at_ms != 0 && exchange_now_ms(ex) >= ex->resend_at_ms)
         dispatch_resend(ex);
     else
         on_overdue(ex);
--- a/gateway/policy/key_check.h
+++ b/gateway/policy/key_check.h
@@ -29,7 +29,7 @@
 typedef struct {
     bool has_accounts; /* the configuration has client accounts */
     bool open_to_all;  /* the route needs no key */
-    key_form_t form;
+    key_presence_t form;
     str_t key;
     bool is_known;    /* an account has the key */
     bool newer_known; /* a newer configuration than the one in force exists */
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -12,14 +12,14 @@
 #include "gateway/router.h"
 
 enum {
-    OBJECT_SEED = 61, /* any number; the same on every instance */
-    /* Uptime after which the list of instances can be relied on for cold starts: several heartbeats
-     * (0.4 s each) have come by then. Chosen, not measured (docs/design/gateway/cold-start.md). */
+    OBJECT_SEED = 61, /* arbitrary, but must be the same on every instance */
+    /* Uptime after which the list of instances is complete enough for cold starts: several
+     * heartbeats of 0.4 s. */
     SETTLED_AFTER_MS = 2500,
     MS_PER_S = 1000,
 };
 
-/* A change of the own region's share that is worth a log line. */
+/* Minimum change of the own region's share that is logged. */
 #define PLAN_LOG_STEP 0.05
 
 void
@@ -33,7 +33,7 @@
         .key = member_key(conf->instance),
         .region = topology_region_of(conf->topology, conf->hall),
         .started_ms = loop_now(loop),
-        .living = 1,
+        .live_instances = 1,
     };
     xassert(name_set(&router->instance, conf->instance));
     xassert(name_set(&router->hall, conf->hall));
@@ -52,13 +52,13 @@
 {
     if (!catalog_apply_config(&router->catalog, view))
         return;
-    /* Plans start now, so that they are there when the first requests come. */
+    /* Creates the region plans, so that they exist when the first requests arrive. */
     const config_t *config = router->catalog.config;
     for (size_t i = 0; i < config->service_count; i++)
         services_get(&router->services, name_str(&config->services[i].name));
 }
 
-/* ---- regular work ---- */
+/* ---- periodic updates ---- */
 
 static void
 log_plan(service_t *service, const region_plan_input_t *input, size_t region)
@@ -68,8 +68,9 @@
     if (fabs(share - plan->logged_share) < PLAN_LOG_STEP)
         return;
     plan->logged_share = share;
-    LOG_INFO("plan: service=%s own_share=%.2f room=%.0f demand=%.1f peak=%.1f", service->name.ptr,
-             share, input->slots[region], input->demand[region], plan->peak[region]);
+    LOG_INFO("region plan changed: service=%s own_share=%.2f room=%.0f demand=%.1f peak=%.1f",
+             service->name.ptr, share, input->slots[region], input->demand[region],
+             plan->peak[region]);
 }
 
 static void
@@ -91,12 +92,12 @@
 {
     const uint64_t now_ms = loop_now(router->loop);
     router->instances = (unsigned)members_total(members, router->region);
-    router->living = (unsigned)members_count_alive(members, now_ms);
+    router->live_instances = (unsigned)members_count_alive(members, now_ms);
     router->sender_count = members_cold_senders(members, router->senders, MEMBERS_MAX);
     router->senders_settled = now_ms - router->started_ms > SETTLED_AFTER_MS;
 }
 
-/* Requests that the instances of the own region carry, for each of this one's. */
+/* Requests handled by all instances of the own region, per request of this instance. */
 static double
 traffic_scale(const router_t *router, const members_t *members)
 {
@@ -105,7 +106,7 @@
     return own > 0 && all > own ? all / own : 1;
 }
 
-/* Sets for how many slots the backends count that name a limit. */
+/* Sets the effective slots of backends with a declared limit. */
 static void
 update_room(router_t *router)
 {
@@ -170,7 +171,7 @@
     return hash;
 }
 
-/* Slots that requests about an object keep busy, over all instances of the own region. */
+/* Returns the slots occupied by requests for an object, over all instances of the own region. */
 static double
 object_demand(const router_t *router, const config_route_t *route, uint64_t object)
 {
@@ -178,7 +179,7 @@
     return per_s * route_stats_median_ms(&router->routes, route->key) / MS_PER_S;
 }
 
-/* What every choice on this instance has in common. */
+/* Fills the fields common to every choice on this instance. */
 static choice_input_t
 choice_input(const router_t *router, const config_route_t *route, str_t service,
              const region_plan_t *plan, uint64_t object)
@@ -202,7 +203,7 @@
 }
 
 static bool
-holds(const uint64_t *items, size_t count, uint64_t wanted)
+contains(const uint64_t *items, size_t count, uint64_t wanted)
 {
     for (size_t i = 0; i < count; i++) {
         if (items[i] == wanted)
@@ -212,15 +213,15 @@
 }
 
 size_t
-router_versions(const router_t *router, const service_t *service, uint64_t *out, size_t most)
+router_usable_versions(const router_t *router, const service_t *service, uint64_t *out, size_t max)
 {
     const backends_t *backends = &router->catalog.backends;
     const uint64_t now_ms = loop_now(router->loop);
     size_t count = 0;
-    for (size_t i = 0; i < backends->count && count < most; i++) {
+    for (size_t i = 0; i < backends->count && count < max; i++) {
         const backend_t *backend = backends->items[i];
         const uint64_t version = backend->info.version;
-        if (version != 0 && !holds(out, count, version) &&
+        if (version != 0 && !contains(out, count, version) &&
             name_eq(&backend->info.service, name_str(&service->name)) &&
             backend_is_usable(backend, now_ms))
             out[count++] = version;
@@ -238,7 +239,7 @@
     input.account = request->account;
     input.has_object = request->has_object;
     input.suspected = request->suspected;
-    input.may_request_permit = request->may_ask;
+    input.may_request_permit = request->may_request_permit;
     input.version = request->version;
     input.tried = request->tried;
     input.tried_count = request->tried_count;
@@ -246,7 +247,7 @@
         .objective_ms = route->aim_ms,
         .left_ms = request->left_ms,
         .median_ms = route_stats_median_ms(&router->routes, route->key),
-        .lost_ms = request->lost_ms,
+        .lost_ms = request->prior_wait_ms,
     };
     const choice_t choice = choice_make(&input);
     if (choice.backend != NULL && backend_is_cold(choice.backend, input.now_ms))
@@ -269,7 +270,7 @@
 }
 
 double
-router_count_caller(router_t *router, const config_route_t *route, uint32_t left_ms)
+router_record_caller(router_t *router, const config_route_t *route, uint32_t left_ms)
 {
     const double usual_ms = route_stats_count_caller(&router->routes, route->key, left_ms);
     return usual_ms > left_ms ? usual_ms - left_ms : 0;
@@ -278,7 +279,7 @@
 void
 router_count_request(router_t *router, service_t *service)
 {
-    const retry_context_t account = router_retry_account(router, service);
+    const retry_context_t account = router_retry_context(router, service);
     retry_budget_count_request(account.budget, &account.terms, account.now_ms);
 }
 
@@ -289,31 +290,32 @@
 }
 
 static void
-take_rest(router_t *router, backend_t *backend, const answer_notice_t *notice)
+apply_backoff(router_t *router, backend_t *backend, const response_notice_t *notice)
 {
     const uint64_t now_ms = loop_now(router->loop);
-    const bool rested = backend->rest.until_ms > 0;
+    const bool was_in_backoff = backend->rest.until_ms > 0;
     if (notice->said->asks_rest) {
         if (!backoff_is_active(&backend->rest, now_ms))
-            LOG_INFO("backend asks for rest: id=%s rest_ms=%llu", backend->info.id.ptr,
+            LOG_INFO("backend requested backoff: id=%s rest_ms=%llu", backend->info.id.ptr,
                      (unsigned long long)notice->said->rest_ms);
         backoff_request(&backend->rest, notice->said->rest_ms, now_ms);
         return;
     }
     backoff_attempt_ended(&backend->rest, notice->sent_ms, notice->ran);
-    if (rested && backend->rest.until_ms == 0)
-        LOG_INFO("backend has rested: id=%s", backend->info.id.ptr);
+    if (was_in_backoff && backend->rest.until_ms == 0)
+        LOG_INFO("backend backoff ended: id=%s", backend->info.id.ptr);
 }
 
 void
-router_take_notice(router_t *router, backend_t *backend, const answer_notice_t *notice)
+router_apply_notice(router_t *router, backend_t *backend, const response_notice_t *notice)
 {
     const backend_said_t *said = notice->said;
-    take_rest(router, backend, notice);
+    apply_backoff(router, backend, notice);
     if (said->unusable > 0)
         catalog_count_unusable_notice(backend, said->unusable);
-    /* One that turns a request away may leave out what it says in answers of its runs. */
-    const bool tells_limit = said->names_limit || notice->ran;
+    /* A response that refuses the request may omit the limit, so only executed requests clear it.
+     * */
+    const bool limit_known = said->names_limit || notice->ran;
     const notice_t news = {
         .backend = backend->info.id,
         .born = backend->info.born,
@@ -321,7 +323,7 @@
             {
                 .named = said->names_limit,
                 .per_s = said->limit_per_s,
-                .said_ms = tells_limit ? notice->sent_ms : 0,
+                .said_ms = limit_known ? notice->sent_ms : 0,
             },
         .leaves = said->leaves,
         .leaves_ms = loop_now(router->loop),
@@ -360,7 +362,7 @@
 }
 
 retry_context_t
-router_retry_account(router_t *router, service_t *service)
+router_retry_context(router_t *router, service_t *service)
 {
     return (retry_context_t){
         .budget = &service->retries,
