--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -26,7 +26,7 @@
     char labels[32];
     snprintf(labels, sizeof(labels), "state=\"%s\"", state);
     counter_set(counter_get("irisstall_upstreams_in_state", labels,
-                            "Backend servers with restricted use, by state."),
+                            "Upstreams that get no request, few, or only if others can't."),
                 value);
 }
 
@@ -67,10 +67,10 @@
         const service_t *service = router->services.items[i];
         snprintf(labels, sizeof(labels), "service=\"%s\"", service->name.ptr);
         counter_set(counter_get("irisstall_own_region_share_percent", labels,
-                                "Percentage of requests planned for the own region."),
+                                "Share of the callers' requests planned for the own region."),
                     (int64_t)(PERCENT * service->plan.share[service->plan.own]));
         counter_set(counter_get("irisstall_slots_use_percent", labels,
-                                "Recent peak demand as a percentage of all slots."),
+                                "Highest demand lately measured, as a share of all slots."),
                     (int64_t)(PERCENT * region_plan_use(&service->plan)));
     }
 }
@@ -86,10 +86,10 @@
     };
     for (view_kind_t kind = 0; kind < VIEW_WATCHED; kind++) {
         counter_set(counter_get("irisstall_in_force_after_ms", kinds[kind],
-                                "Age of the last change in milliseconds when it took effect."),
+                                "Age of the last change when it came into force, milliseconds."),
                     views->ages[kind].last_ms);
         counter_set(counter_get("irisstall_in_force_after_max_ms", kinds[kind],
-                                "Maximum age in milliseconds of a change when it took effect."),
+                                "The highest of these ages since the start."),
                     views->ages[kind].highest_ms);
     }
 }
@@ -105,13 +105,13 @@
         limited += uses->items[i]->gate.limited;
         silent += !account_use_in_touch(uses->items[i], loop_now(accounts->conf.loop));
     }
-    set_gauge("irisstall_accounts_in_use",
-              "Limited client accounts with requests on this instance.", (int64_t)uses->count);
-    set_gauge("irisstall_accounts_at_limit", "Limited client accounts that are at their limit.",
+    set_gauge("irisstall_accounts_in_use", "Client accounts with a limit whose callers came here.",
+              (int64_t)uses->count);
+    set_gauge("irisstall_accounts_at_limit", "Of these, accounts whose instances are held.",
               limited);
-    set_gauge("irisstall_accounts_owner_silent",
-              "Limited client accounts whose owner does not respond.", silent);
-    set_gauge("irisstall_accounts_owned", "Client accounts owned by this instance.",
+    set_gauge("irisstall_accounts_owner_silent", "Of these, accounts whose owner gives no answer.",
+              silent);
+    set_gauge("irisstall_accounts_owned", "Client accounts whose ledger is here.",
               (int64_t)accounts->ledgers.count);
 }
 
@@ -119,35 +119,36 @@
 respond_metrics(const admin_t *admin, wire_request_t *req)
 {
     const router_t *router = admin->router;
-    set_gauge("irisstall_config_revision", "Store revision of the active configuration.",
+    set_gauge("irisstall_config_revision", "Store revision of the configuration in force.",
               router->catalog.config != NULL ? (int64_t)router->catalog.config->revision : 0);
     set_gauge("irisstall_config_refused_revision",
-              "Store revision of a newer configuration that was rejected, 0 if none.",
+              "Store revision of a newer configuration that could not be used, 0: none.",
               (int64_t)router->catalog.refused.revision);
     set_gauge("irisstall_config_left_out",
-              "Routes and services of the active configuration that could not be decoded.",
+              "Routes and services of the configuration in force that could not be read.",
               router->catalog.config != NULL ? (int64_t)config_left_out(router->catalog.config)
                                              : 0);
-    set_gauge("irisstall_instances_living", "Live instances, including this one.",
+    set_gauge("irisstall_instances_living", "Instances heard of, this one too.",
               router->live_instances);
-    set_gauge("irisstall_upstreams", "Known backend servers.",
-              (int64_t)router->catalog.backends.count);
-    set_gauge("irisstall_entries_unusable", "Store entries without a usable backend server.",
+    set_gauge("irisstall_upstreams", "Upstreams known.", (int64_t)router->catalog.backends.count);
+    set_gauge("irisstall_entries_unusable",
+              "Entries of the store that name no backend server to use.",
               (int64_t)router->catalog.unusable_count);
     set_age_gauges(admin->views);
     set_backend_gauges(router);
     set_plan_gauges(router);
     set_gauge("irisstall_requests_held",
-              "Requests and families refused because backend servers ended while running them.",
+              "Requests and families refused now, as backend servers ended under them.",
               (int64_t)suspects_held(admin->suspects, loop_now(router->loop)));
-    set_gauge("irisstall_suspects", "Requests and families during which backend servers ended.",
+    set_gauge("irisstall_suspects", "Requests and families under which backend servers ended.",
               (int64_t)admin->suspects->count);
     set_account_gauges(admin->accounts);
-    set_gauge("irisstall_requests_active", "Requests in progress.",
+    set_gauge("irisstall_requests_active", "Requests under way.",
               (int64_t)admin->exchanges->active);
-    set_gauge("irisstall_caller_connections", "Open caller connections.",
+    set_gauge("irisstall_caller_connections", "Open connections of callers.",
               (int64_t)wire_listener_connections(admin->callers));
-    set_gauge("irisstall_log_lines_dropped", "Dropped log lines.", (int64_t)log_dropped());
+    set_gauge("irisstall_log_lines_dropped", "Log lines that were dropped.",
+              (int64_t)log_dropped());
     size_t len;
     char *text = counter_expose(&len);
     wire_respond(req, HTTP_STATUS_OK, STR("Content-Type: text/plain; version=0.0.4\r\n"),
--- a/gateway/inspect.c
+++ b/gateway/inspect.c
@@ -99,14 +99,14 @@
     const refused_config_t *refused = &catalog->refused;
     const size_t left_out = catalog->config != NULL ? config_left_out(catalog->config) : 0;
     if (left_out > 0)
-        wire_text_printf(out, "active configuration lacks %zu parts that could not be decoded\n",
+        wire_text_printf(out, "configuration in force without %zu parts that could not be read\n",
                          left_out);
     if (refused->revision > 0)
         wire_text_printf(out, "configuration refused: revision %llu, %s: %s\n",
                          (unsigned long long)refused->revision, err_name(refused->err.code),
                          refused->err.detail);
     if (catalog->newer_at > 0)
-        wire_text_printf(out, "configuration outdated: newer revision %llu is known\n",
+        wire_text_printf(out, "configuration behind: a peer's is as of revision %llu\n",
                          (unsigned long long)catalog->newer_at);
 }
 
@@ -120,8 +120,8 @@
     };
     for (view_kind_t kind = 0; kind < VIEW_WATCHED; kind++) {
         const view_age_t *age = &views->ages[kind];
-        wire_text_printf(out, "%s: last change took effect after %u ms, at most %u ms\n",
-                         kinds[kind], age->last_ms, age->highest_ms);
+        wire_text_printf(out, "%s: last change in force after %u ms, at most %u ms\n", kinds[kind],
+                         age->last_ms, age->highest_ms);
     }
 }
 
@@ -144,7 +144,7 @@
         wire_text_printf(out, "store followed here, last answer %u ms ago\n", age_ms);
     print_ages(status->views, out);
     if (router->catalog.unusable_count > 0)
-        wire_text_printf(out, "store entries without a usable backend server: %zu\n",
+        wire_text_printf(out, "entries that name no backend server to use: %zu\n",
                          router->catalog.unusable_count);
     for (size_t i = 0; i < status->members->count; i++) {
         if (status->members->items[i].heard)
@@ -158,10 +158,10 @@
 {
     wire_text_printf(out, ", sent %llu", (unsigned long long)backend->sends);
     if (backend->limit.named)
-        wire_text_printf(out, ", limit %g/s, declared %llu ms ago", backend->limit.per_s,
+        wire_text_printf(out, ", takes %g/s, as told %llu ms ago", backend->limit.per_s,
                          (unsigned long long)(now - backend->limit.said_ms));
     if (backend->says_leaving)
-        wire_text_str(out, STR(", announced that it leaves"));
+        wire_text_str(out, STR(", told that it leaves"));
 }
 
 static const char *
@@ -177,9 +177,9 @@
         return "paused after failures";
     switch (backend_skip_reason(backend, true, now)) {
     case SKIP_BACKOFF:
-        return "in requested backoff";
+        return "rests, as it asked for";
     case SKIP_RATE_LIMITED:
-        return "at its declared limit";
+        return "at the limit that it names";
     default:
         break;
     }
@@ -195,7 +195,7 @@
     const uint64_t now = loop_now(router->loop);
     const choice_input_t input = router_explain_input(router, route, name_str(name), object);
     const choice_t choice = choice_make(&input);
-    wire_text_printf(out, "  would choose %s, reason %s, skipped: %s\n",
+    wire_text_printf(out, "  would go to %s, reason %s, passed over before it: %s\n",
                      choice.backend != NULL ? choice.backend->info.id.ptr : "none",
                      choice_reason_name(choice.reason), skip_reason_name(choice.skip_reason));
     for (size_t i = 0; i < router->catalog.backends.count; i++) {
@@ -220,10 +220,10 @@
         wire_text_str(out, STR("no route\n"));
         return;
     }
-    wire_text_printf(
-        out, "route %s, prefix %.200s, %s, objective %u ms, timeout %u ms, attempts %u\n",
-        route->name.ptr, route->prefix, route->repeatable ? "may be repeated" : "runs at most once",
-        route->aim_ms, route->timeout_ms, route->max_attempts);
+    wire_text_printf(out, "route %s, prefix %.200s, %s, aim %u ms, limit %u ms, attempts %u\n",
+                     route->name.ptr, route->prefix,
+                     route->repeatable ? "may be repeated" : "runs at most once", route->aim_ms,
+                     route->timeout_ms, route->max_attempts);
     for (size_t i = 0; i < route->target_count; i++) {
         wire_text_printf(out, "service %s, weight %g\n", route->targets[i].service.ptr,
                          route->targets[i].weight);
--- a/gateway/inspect_accounts.c
+++ b/gateway/inspect_accounts.c
@@ -38,10 +38,9 @@
 print_ledger(const account_sync_t *news, const ledger_t *ledger, wire_text_t *out)
 {
     const uint64_t now_ms = loop_now(news->conf.loop);
-    wire_text_printf(
-        out, "owned here: %.1f of %.1f tokens left, demand %.1f/s in this region, %.1f/s in all\n",
-        ledger->room.tokens, ledger->room.burst, ledger_asked_per_s(ledger, now_ms),
-        ledger_asked_everywhere(ledger, now_ms));
+    wire_text_printf(out, "owned here: room %.1f of %.1f, asked %.1f/s here, %.1f/s everywhere\n",
+                     ledger->room.tokens, ledger->room.burst, ledger_asked_per_s(ledger, now_ms),
+                     ledger_asked_everywhere(ledger, now_ms));
     for (size_t i = 0; i < ledger->user_count; i++)
         wire_text_printf(out, "  instance %-24s share %8.2f/s, heard %" PRIu64 " ms ago\n",
                          name_of(news, ledger->users[i].source), ledger->users[i].share_per_s,
@@ -49,7 +48,7 @@
     for (size_t i = 0; i < ledger->peer_count; i++) {
         const size_t region = ledger->peers[i].region;
         const topology_t *topology = news->conf.topology;
-        wire_text_printf(out, "  region %-24s demand %8.1f/s, heard %" PRIu64 " ms ago\n",
+        wire_text_printf(out, "  region %-24s asked %8.1f/s, heard %" PRIu64 " ms ago\n",
                          region < topology->region_count ? topology->regions[region].ptr : "-",
                          ledger->peers[i].asked_per_s, now_ms - ledger->peers[i].heard_ms);
     }
--- a/gateway/inspect_suspects.c
+++ b/gateway/inspect_suspects.c
@@ -47,5 +47,5 @@
             print_suspect(suspects, suspect, now_ms, out);
         others += !is_shown;
     }
-    wire_text_printf(out, "others, with at most one end: %zu\n", others);
+    wire_text_printf(out, "with one end, or none of its own: %zu\n", others);
 }
--- a/gateway/path/access_log.c
+++ b/gateway/path/access_log.c
@@ -26,7 +26,7 @@
     snprintf(labels, sizeof(labels), "service=\"%s\",cause=\"%s\"", access->service,
              late_cause_name(access->late));
     counter_add(counter_get("irisstall_late_total", labels,
-                            "Responses later than the latency objective of the route, by cause."),
+                            "Answers later than the route's latency objective, by cause."),
                 1);
 }
 
--- a/gateway/path/access_log.h
+++ b/gateway/path/access_log.h
@@ -24,13 +24,13 @@
     const char *backend; /* backend of the last attempt */
     const char *config_version;
     size_t attempts;
-    uint32_t sends;         /* attempts that may have sent bytes */
-    choice_reason_t choice; /* reason of the last choice */
-    skip_reason_t skip_reason;   /* why a preferred backend was skipped in the last choice */
-    retry_verdict_t retry;  /* result of the last retry decision */
-    late_cause_t late;      /* why the response was late, LATE_NONE if it was not */
-    uint64_t elapsed_ms;    /* since the first byte of the request */
-    uint64_t left_ms;       /* until the deadline */
+    uint32_t sends;            /* attempts that may have sent bytes */
+    choice_reason_t choice;    /* reason of the last choice */
+    skip_reason_t skip_reason; /* why a preferred backend was skipped in the last choice */
+    retry_verdict_t retry;     /* result of the last retry decision */
+    late_cause_t late;         /* why the response was late, LATE_NONE if it was not */
+    uint64_t elapsed_ms;       /* since the first byte of the request */
+    uint64_t left_ms;          /* until the deadline */
 } access_record_t;
 
 void access_log(const access_record_t *access);
--- a/gateway/path/completion.c
+++ b/gateway/path/completion.c
@@ -78,12 +78,13 @@
 completion_refuse_no_backend(exchange_t *ex)
 {
     if (ex->choice.reason != CHOICE_ALL_SKIPPED) {
-        completion_refuse(ex,
-                          ex->choice.reason == CHOICE_FULL ? OUTCOME_NO_CAPACITY : OUTCOME_NO_BACKEND);
+        completion_refuse(ex, ex->choice.reason == CHOICE_FULL ? OUTCOME_NO_CAPACITY
+                                                               : OUTCOME_NO_BACKEND);
         return;
     }
     const double point = rng_unit(&ex->owner->router->rng);
-    const final_answer_t answer = final_answer_all_skipped(ex->may_have_run, ex->choice.wait_ms, point);
+    const final_answer_t answer =
+        final_answer_all_skipped(ex->may_have_run, ex->choice.wait_ms, point);
     send_final_response(ex, &answer);
 }
 
--- a/gateway/path/end_check.c
+++ b/gateway/path/end_check.c
@@ -30,11 +30,9 @@
 static void
 count_outcome(const char *labels)
 {
-    counter_add(
-        counter_get(
-            "irisstall_end_checks_total", labels,
-            "Checks whether a backend server ended after a connection to it broke, by outcome."),
-        1);
+    counter_add(counter_get("irisstall_end_checks_total", labels,
+                            "Checks whether a backend server ended when a connection to it broke."),
+                1);
 }
 
 static void on_outcome(void *ctx, reach_t outcome);
--- a/gateway/path/exchange.c
+++ b/gateway/path/exchange.c
@@ -100,8 +100,8 @@
     };
     ex->key = key_check(&input);
     if (key_is_denied(ex->key) || ex->key == KEY_CONFIGURATION_STALE) {
-        completion_refuse(ex,
-                          ex->key == KEY_CONFIGURATION_STALE ? OUTCOME_CONFIGURATION_STALE : OUTCOME_DENIED);
+        completion_refuse(ex, ex->key == KEY_CONFIGURATION_STALE ? OUTCOME_CONFIGURATION_STALE
+                                                                 : OUTCOME_DENIED);
         return false;
     }
     ex->account = account;
--- a/gateway/path/exchange_state.h
+++ b/gateway/path/exchange_state.h
@@ -37,7 +37,7 @@
     uv_timer_t timer;              /* fires at the earliest of these times */
     uv_timer_cb on_timer;          /* set by exchange.c */
     attempt_t attempt;
-    pending_permit_t *permit;                /* pending permit request; NULL if none */
+    pending_permit_t *permit;             /* pending permit request; NULL if none */
     backend_t *permit_backend;            /* backend of the pending permit, a counted reference */
     unsigned permits_refused;             /* permits refused for this request */
     choice_t choice;                      /* last choice; its backend may no longer exist */
--- a/gateway/resume.c
+++ b/gateway/resume.c
@@ -57,7 +57,7 @@
     LOG_WARN("resumed after suspension: still_ms=%llu requests=%zu", (unsigned long long)still_ms,
              resume->count);
     counter_add(counter_get("irisstall_resumed_total", NULL,
-                            "Suspensions of the instance of one second or more."),
+                            "Times that the instance had stood still for a second or more."),
                 1);
     resume->awaiting_update = true;
     uv_timer_start(&resume->timer, on_timer, RESUME_WAIT_MS, 0);
--- a/test/gateway/test_endpoints.c
+++ b/test/gateway/test_endpoints.c
@@ -62,9 +62,10 @@
     ask(site, "GET", "/safe/x");
     RUN_UNTIL(site, ask(site, "GET", "/safe/x").status == 503);
     read_page(site, "/explain?host=h.example&path=/safe/x&object=7", &page);
-    ck_assert_ptr_nonnull(strstr(page.text, "would choose none, reason passed, skipped: at_limit"));
-    ck_assert_ptr_nonnull(strstr(page.text, "at its declared limit"));
-    ck_assert_ptr_nonnull(strstr(page.text, "limit 0.5/s, declared "));
+    ck_assert_ptr_nonnull(strstr(page.text, "would go to none, reason passed, passed over before "
+                                            "it: at_limit"));
+    ck_assert_ptr_nonnull(strstr(page.text, "at the limit that it names"));
+    ck_assert_ptr_nonnull(strstr(page.text, "takes 0.5/s, as told "));
     read_page(site, "/metrics", &page);
     ck_assert_ptr_nonnull(strstr(page.text, "irisstall_upstreams_in_state{state=\"limited\"} 1"));
     ck_assert_ptr_nonnull(strstr(page.text, "irisstall_upstreams_in_state{state=\"resting\"} 0"));
