--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -182,11 +182,11 @@
     const uint64_t fingerprint = strtoull(digits, &end, 16);
     const bool valid = text.len > 0 && text.len <= FINGERPRINT_DIGITS && *end == '\0' && errno == 0;
     if (!valid)
-        wire_respond(req, HTTP_STATUS_BAD_REQUEST, STR(""), STR("invalid request fingerprint\n"));
+        wire_respond(req, HTTP_STATUS_BAD_REQUEST, STR(""), STR("not a request's fingerprint\n"));
     else if (suspects_lift(admin->suspects, fingerprint, loop_now(admin->router->loop)))
         wire_respond(req, HTTP_STATUS_OK, STR(""), STR("lifted\n"));
     else
-        wire_respond(req, HTTP_STATUS_NOT_FOUND, STR(""), STR("request is not quarantined\n"));
+        wire_respond(req, HTTP_STATUS_NOT_FOUND, STR(""), STR("nothing is held against that request\n"));
 }
 
 void
--- a/gateway/path/access_log.c
+++ b/gateway/path/access_log.c
@@ -14,7 +14,7 @@
 {
     char labels[LABELS_MAX];
     snprintf(labels, sizeof(labels), "outcome=\"%s\"", outcome_name(outcome));
-    counter_add(counter_get("irisstall_requests_total", labels, "Requests by outcome."), 1);
+    counter_add(counter_get("irisstall_requests_total", labels, "Requests by their outcome."), 1);
 }
 
 static void
