--- a/test/gateway/test_platform.c
+++ b/test/gateway/test_platform.c
@@ -25,7 +25,7 @@
     return head;
 }
 
-START_TEST(judges_answers)
+START_TEST(classifies_backend_answers)
 {
     wire_head_t plain = answer_head(200);
     ck_assert_int_eq(platform_dialect.judge(&plain), VERDICT_BAD);
@@ -47,7 +47,7 @@
 }
 END_TEST
 
-START_TEST(rewrites_a_request)
+START_TEST(rewrites_request_headers)
 {
     wire_head_t head = {0};
     caller_terms_t terms;
@@ -77,18 +77,18 @@
 }
 END_TEST
 
-START_TEST(reads_reported_load)
+START_TEST(parses_reported_load)
 {
-    static const char *const bad[] = {"", "1", "1,2", "a,2,3", "1,,3", "-1,2,3"};
+    static const char *const invalid[] = {"", "1", "1,2", "a,2,3", "1,,3", "-1,2,3"};
     wire_head_t head = {0};
     reported_load_t load;
     add_field(&head, "Server-Load", "3,1,8");
     ck_assert(platform_dialect.load(&head, &load));
     ck_assert(load.running == 3 && load.waiting == 1 && load.slots == 8);
     wire_head_free(&head);
-    for (size_t i = 0; i < ALEN(bad); i++) {
+    for (size_t i = 0; i < ALEN(invalid); i++) {
         wire_head_t other = {0};
-        add_field(&other, "Server-Load", bad[i]);
+        add_field(&other, "Server-Load", invalid[i]);
         ck_assert(!platform_dialect.load(&other, &load));
         wire_head_free(&other);
     }
@@ -96,60 +96,61 @@
 END_TEST
 
 static backend_said_t
-read_notice(int status, const char *name, const char *value, const char *again)
+parse_notice(int status, const char *name, const char *value, const char *repeated_value)
 {
     wire_head_t head = {.status = status};
-    backend_said_t said;
+    backend_said_t notice;
     add_field(&head, name, value);
-    if (again != NULL)
-        add_field(&head, name, again);
-    platform_dialect.notice(&head, &said);
+    if (repeated_value != NULL)
+        add_field(&head, name, repeated_value);
+    platform_dialect.notice(&head, &notice);
     wire_head_free(&head);
-    return said;
+    return notice;
 }
 
-START_TEST(reads_what_a_backend_says_of_itself)
+START_TEST(parses_backend_notices)
 {
-    backend_said_t said = read_notice(200, "Server-Limit", "1.25", NULL);
-    ck_assert(said.names_limit && said.limit_per_s == 1.25 && !said.leaves && !said.asks_rest);
-    said = read_notice(200, "server-limit", " 0 ", NULL);
-    ck_assert(said.names_limit && said.limit_per_s == 0 && said.unusable == 0);
-    said = read_notice(503, "Server-Leaving", "1", NULL);
-    ck_assert(said.leaves && !said.names_limit && !said.asks_rest);
-    said = read_notice(503, "Retry-After", "0.5", NULL);
-    ck_assert(said.asks_rest && said.rest_ms == 500);
-    said = read_notice(429, "Retry-After", "3", NULL);
-    ck_assert(said.asks_rest && said.rest_ms == 3000);
+    backend_said_t notice = parse_notice(200, "Server-Limit", "1.25", NULL);
+    ck_assert(notice.names_limit && notice.limit_per_s == 1.25 && !notice.leaves &&
+              !notice.asks_rest);
+    notice = parse_notice(200, "server-limit", " 0 ", NULL);
+    ck_assert(notice.names_limit && notice.limit_per_s == 0 && notice.unusable == 0);
+    notice = parse_notice(503, "Server-Leaving", "1", NULL);
+    ck_assert(notice.leaves && !notice.names_limit && !notice.asks_rest);
+    notice = parse_notice(503, "Retry-After", "0.5", NULL);
+    ck_assert(notice.asks_rest && notice.rest_ms == 500);
+    notice = parse_notice(429, "Retry-After", "3", NULL);
+    ck_assert(notice.asks_rest && notice.rest_ms == 3000);
     /* Only one that turns a request away asks for rest. */
-    said = read_notice(200, "Retry-After", "3", NULL);
-    ck_assert(!said.asks_rest && said.unusable == 0);
-    said = read_notice(503, "Retry-After", "0", NULL);
-    ck_assert(!said.asks_rest && said.unusable == 0);
-    said = read_notice(200, "Server-Leaving", "0", NULL);
-    ck_assert(!said.leaves && said.unusable == 0);
+    notice = parse_notice(200, "Retry-After", "3", NULL);
+    ck_assert(!notice.asks_rest && notice.unusable == 0);
+    notice = parse_notice(503, "Retry-After", "0", NULL);
+    ck_assert(!notice.asks_rest && notice.unusable == 0);
+    notice = parse_notice(200, "Server-Leaving", "0", NULL);
+    ck_assert(!notice.leaves && notice.unusable == 0);
 }
 END_TEST
 
-START_TEST(what_cannot_be_used_counts_as_not_there)
+START_TEST(ignores_invalid_notice_fields)
 {
-    static const char *const bad[] = {"",     " ",   "-1",          "a",   "1x",  "1.2.3",
-                                      "1.",   ".",   "+1",          "nan", "inf", "1e3",
-                                      "0x10", "1,5", "99999999999", "1 2"};
+    static const char *const invalid[] = {"",     " ",   "-1",          "a",   "1x",  "1.2.3",
+                                          "1.",   ".",   "+1",          "nan", "inf", "1e3",
+                                          "0x10", "1,5", "99999999999", "1 2"};
     static const char *const names[] = {"Server-Limit", "Server-Leaving", "Retry-After"};
     for (size_t k = 0; k < ALEN(names); k++) {
-        for (size_t i = 0; i < ALEN(bad); i++) {
-            const backend_said_t said = read_notice(503, names[k], bad[i], NULL);
-            ck_assert_msg(!said.names_limit && !said.leaves && !said.asks_rest &&
-                              said.unusable == 1,
-                          "%s: %s", names[k], bad[i]);
+        for (size_t i = 0; i < ALEN(invalid); i++) {
+            const backend_said_t notice = parse_notice(503, names[k], invalid[i], NULL);
+            ck_assert_msg(!notice.names_limit && !notice.leaves && !notice.asks_rest &&
+                              notice.unusable == 1,
+                          "%s: %s", names[k], invalid[i]);
         }
-        const backend_said_t twice = read_notice(503, names[k], "1", "1");
+        const backend_said_t twice = parse_notice(503, names[k], "1", "1");
         ck_assert(!twice.names_limit && !twice.leaves && !twice.asks_rest && twice.unusable == 1);
     }
 }
 END_TEST
 
-START_TEST(own_answers_say_when_to_come_back)
+START_TEST(gateway_answers_carry_retry_after)
 {
     wire_text_t out = {0};
     platform_dialect.write_own_answer(STR("q"), 1400, &out);
@@ -158,7 +159,7 @@
 }
 END_TEST
 
-START_TEST(directory_speaks_the_protocol)
+START_TEST(directory_decodes_query_and_encodes_addresses)
 {
     wire_head_t head = {0};
     directory_question_t question;
@@ -192,15 +193,15 @@
     "\"services\":{\"s1\":{\"maxConns\":330,\"coldStartS\":3.5,\"coldPerS\":14.0}},"
     "\"limits\":{\"maxHeaderBytes\":1000,\"idleTimeoutMs\":9000}}}";
 
-START_TEST(decodes_a_configuration)
+START_TEST(decodes_configuration)
 {
     err_t err = {0};
     config_t *config = platform_decoder.config(str_from(config_text), &err);
     ck_assert_ptr_nonnull(config);
     ck_assert_str_eq(config->version, "0000000c");
-    const config_route_t *once = config_route(config, STR("h.example"), STR("/p/x"));
-    ck_assert(!once->repeatable && once->sticky && once->regions.count == 1);
-    ck_assert_uint_eq(once->aim_ms, 500);
+    const config_route_t *unsafe = config_route(config, STR("h.example"), STR("/p/x"));
+    ck_assert(!unsafe->repeatable && unsafe->sticky && unsafe->regions.count == 1);
+    ck_assert_uint_eq(unsafe->aim_ms, 500);
     const config_route_t *large = config_route(config, STR("h.example"), STR("/d/"));
     ck_assert(large->repeatable && large->large && large->target_count == 2);
     ck_assert(large->targets[0].weight == 90);
@@ -213,7 +214,7 @@
 
 /* A configuration of that many routes, each to a service of its own; free() the result. */
 static char *
-many_routes(unsigned count)
+config_with_routes(unsigned count)
 {
     wire_text_t text = {0};
     wire_text_str(&text, STR("{\"spec\":{\"version\":\"0000000d\",\"routes\":{"));
@@ -229,10 +230,10 @@
     return text.ptr;
 }
 
-START_TEST(decodes_as_many_routes_and_services_as_an_object_holds)
+START_TEST(decodes_configuration_near_object_size_limit)
 {
     enum { OBJECT_BYTES = 1048576, ROUTES = 9000 };
-    char *text = many_routes(ROUTES);
+    char *text = config_with_routes(ROUTES);
     ck_assert_uint_lt(strlen(text), OBJECT_BYTES);
     err_t err = {0};
     config_t *config = platform_decoder.config(str_from(text), &err);
@@ -247,12 +248,12 @@
 }
 END_TEST
 
-START_TEST(refuses_a_broken_configuration)
+START_TEST(rejects_invalid_configuration)
 {
     static const char *const negative =
         "{\"spec\":{\"routes\":{\"r\":{\"host\":\"h\",\"pathPrefix\":\"/\","
         "\"trafficSplit\":[{\"service\":\"s\",\"weight\":-1}]}}}}";
-    const char *const bad[] = {
+    const char *const invalid[] = {
         "",
         "{",
         "[]",
@@ -261,20 +262,20 @@
         "{\"spec\":{\"routes\":{\"r\":{\"host\":\"\",\"pathPrefix\":\"/\",\"service\":\"s\"}}}}",
         negative,
     };
-    for (size_t i = 0; i < ALEN(bad); i++) {
+    for (size_t i = 0; i < ALEN(invalid); i++) {
         err_t err = {0};
-        ck_assert_ptr_null(platform_decoder.config(str_from(bad[i]), &err));
+        ck_assert_ptr_null(platform_decoder.config(str_from(invalid[i]), &err));
         ck_assert_int_ne(err.code, ERR_NONE);
     }
 }
 END_TEST
 
 /* One route or service that cannot be read does not keep the others out of force. */
-START_TEST(leaves_out_a_part_that_cannot_be_read)
+START_TEST(skips_invalid_routes_and_services)
 {
-#define GOOD_ROUTE "\"good\":{\"host\":\"h\",\"pathPrefix\":\"/g/\",\"service\":\"s\"}"
+#define VALID_ROUTE "\"good\":{\"host\":\"h\",\"pathPrefix\":\"/g/\",\"service\":\"s\"}"
 #define LONG_NAME "a-name-of-more-than-forty-seven-bytes-that-stands-nowhere-else"
-    static const char *const bad[] = {
+    static const char *const invalid[] = {
         "\"no-host\":{\"pathPrefix\":\"/b/\",\"service\":\"s\"}",
         "\"no-prefix\":{\"host\":\"h\",\"service\":\"s\"}",
         "\"no-object\":7",
@@ -284,11 +285,11 @@
         "\"bad-home\":{\"host\":\"h\",\"pathPrefix\":\"/g/b/\",\"service\":\"s\","
         "\"allowedRegions\":[7]}",
     };
-    enum { FIRST_WITH_PREFIX = 3 };
-    for (size_t i = 0; i < ALEN(bad); i++) {
-        char *text = xasprintf("{\"spec\":{\"routes\":{%s," GOOD_ROUTE "},"
+    enum { FIRST_WITH_HOST_AND_PREFIX = 3 };
+    for (size_t i = 0; i < ALEN(invalid); i++) {
+        char *text = xasprintf("{\"spec\":{\"routes\":{%s," VALID_ROUTE "},"
                                "\"services\":{\"" LONG_NAME "\":{},\"s\":{\"maxConns\":3}}}}",
-                               bad[i]);
+                               invalid[i]);
         err_t err = {0};
         config_t *config = platform_decoder.config(str_from(text), &err);
         ck_assert_msg(config != NULL, "%s", err.detail);
@@ -298,7 +299,7 @@
         ck_assert_ptr_null(config_route(config, STR("h"), STR("/b/x")));
         /* Its requests are not those of the route that begins their paths as well. */
         const size_t targets = config_route(config, STR("h"), STR("/g/b/x"))->target_count;
-        ck_assert_uint_eq(targets, i < FIRST_WITH_PREFIX ? 1 : 0);
+        ck_assert_uint_eq(targets, i < FIRST_WITH_HOST_AND_PREFIX ? 1 : 0);
         ck_assert_uint_eq(config_service(config, STR("s"))->max_connections, 3);
         config_unref(config);
         free(text);
@@ -307,7 +308,7 @@
 END_TEST
 
 /* The name of a route is for people only. */
-START_TEST(a_name_of_a_route_may_be_anything)
+START_TEST(accepts_any_route_name)
 {
     static const char *const text = "{\"spec\":{\"routes\":{\"" LONG_NAME "/ \":{\"host\":\"h\","
                                     "\"pathPrefix\":\"/\",\"service\":\"s\"}}}}";
@@ -319,7 +320,7 @@
 }
 END_TEST
 
-START_TEST(a_field_of_the_wrong_type_counts_as_absent)
+START_TEST(field_of_wrong_type_gets_default)
 {
     static const char *const text =
         "{\"spec\":{\"version\":\"a-version-that-is-too-long\",\"routes\":{\"r\":{\"host\":\"h\","
@@ -340,7 +341,7 @@
 }
 END_TEST
 
-START_TEST(decodes_a_backend)
+START_TEST(decodes_backend_entry)
 {
     static const char *const text =
         "{\"metadata\":{\"name\":\"i-1\",\"revision\":4},\"spec\":{\"address\":\"10.1.0.9:8080\","
@@ -358,7 +359,7 @@
 
 /* What each backend server writes, with one text replaced by another. */
 static bool
-decodes_changed(const char *from, const char *to)
+decodes_modified_entry(const char *from, const char *to)
 {
     static const char *const text =
         "{\"metadata\":{},\"spec\":{\"born\":1700000000123,\"address\":\"10.1.0.9:80\",\"info\":{"
@@ -366,16 +367,16 @@
         "\"state\":\"ready\",\"callSeq\":4,\"coldRemainingMs\":0}}}";
     const char *at = strstr(text, from);
     ck_assert_ptr_nonnull(at);
-    char *changed = xasprintf("%.*s%s%s", (int)(at - text), text, to, at + strlen(from));
+    char *modified = xasprintf("%.*s%s%s", (int)(at - text), text, to, at + strlen(from));
     backend_info_t info;
     err_t err = {0};
-    const bool decoded = platform_decoder.backend(STR("i-1"), str_from(changed), &info, &err);
+    const bool decoded = platform_decoder.backend(STR("i-1"), str_from(modified), &info, &err);
     ck_assert(decoded || err.code != ERR_NONE);
-    free(changed);
+    free(modified);
     return decoded;
 }
 
-START_TEST(tells_the_lives_of_a_backend_apart)
+START_TEST(decodes_backend_start_time)
 {
     static const char *const spec = "{\"spec\":{%s\"address\":\"10.1.0.9:80\",\"info\":{"
                                     "\"service\":\"s1\",\"version\":\"v1\",\"zone\":\"a1\","
@@ -402,7 +403,7 @@
 }
 END_TEST
 
-START_TEST(an_entry_of_another_writer_is_refused)
+START_TEST(rejects_malformed_backend_entry)
 {
     static const struct {
         const char *from;
@@ -429,15 +430,15 @@
         {"\"info\":{", "\"info\":7,\"other\":{"},
         {"{\"metadata\":{},", "{\"metadata\":{},]"},
     };
-    ck_assert(decodes_changed("10.1.0.9", "10.1.0.8"));
+    ck_assert(decodes_modified_entry("10.1.0.9", "10.1.0.8"));
     for (size_t i = 0; i < ALEN(rows); i++)
-        ck_assert_msg(!decodes_changed(rows[i].from, rows[i].to), "%s", rows[i].to);
+        ck_assert_msg(!decodes_modified_entry(rows[i].from, rows[i].to), "%s", rows[i].to);
 }
 END_TEST
 
 /* ---- pages ---- */
 
-START_TEST(one_unreadable_object_leaves_the_others_of_its_page)
+START_TEST(unreadable_object_does_not_affect_rest_of_page)
 {
     static const char *const text =
         "{\"items\":[{\"metadata\":{\"name\":\"a\",\"revision\":1},\"spec\":{\"x\":\"]}{[\\\"\"}},"
@@ -448,7 +449,7 @@
     page_t page;
     ck_assert(page_read(&page, str_from(text)));
     ck_assert(page.more);
-    ck_assert_uint_eq(page.at, 9);
+    ck_assert_uint_eq(page.revision, 9);
     ck_assert_uint_eq(page.count, 3);
     ck_assert(str_eq(page.items[0].name, STR("a")));
     ck_assert(str_starts_with(page.items[0].body, STR("{\"metadata\"")));
@@ -459,7 +460,7 @@
 }
 END_TEST
 
-START_TEST(events_are_read_one_by_one)
+START_TEST(parses_watch_events)
 {
     static const char *const text =
         "{ \"at\" : 12 , \"events\" : [ {\"gone\":true,\"object\":{\"metadata\":{\"name\":\"a\","
@@ -470,12 +471,12 @@
     ck_assert_uint_eq(page.count, 2);
     ck_assert(page.items[0].gone && !page.items[1].gone);
     ck_assert_uint_eq(page.items[1].revision, 12);
-    ck_assert_uint_eq(page.at, 12);
+    ck_assert_uint_eq(page.revision, 12);
     page_free(&page);
 }
 END_TEST
 
-START_TEST(what_is_no_page_is_refused)
+START_TEST(rejects_malformed_page)
 {
     static const char *const texts[] = {
         "",
@@ -500,12 +501,12 @@
 
 /* ---- settings ---- */
 
-static const char *const good_settings = "name: front-1\nplace: a1\ncallers: 10.0.0.1:1\n"
-                                         "readiness: 10.0.0.1:2\ndirectory: 10.0.0.1:3\n"
-                                         "peer: 10.0.0.1:4\nstore: 10.0.0.9:1\nseeds: []\n"
-                                         "places:\n  - place: a1\n    region: a\n"
-                                         "directory_ttl_s: 2\ngrace_s: 6\nretry_ratio: 0.2\n"
-                                         "retry_constant: 58\nretry_window_s: 10\n";
+static const char *const valid_settings = "name: front-1\nplace: a1\ncallers: 10.0.0.1:1\n"
+                                          "readiness: 10.0.0.1:2\ndirectory: 10.0.0.1:3\n"
+                                          "peer: 10.0.0.1:4\nstore: 10.0.0.9:1\nseeds: []\n"
+                                          "places:\n  - place: a1\n    region: a\n"
+                                          "directory_ttl_s: 2\ngrace_s: 6\nretry_ratio: 0.2\n"
+                                          "retry_constant: 58\nretry_window_s: 10\n";
 
 static bool
 load_settings(const char *text, gateway_settings_t *out, err_t *err)
@@ -522,19 +523,19 @@
 
 /* The good settings with one text replaced by another. */
 static char *
-changed_settings(const char *from, const char *to)
+modified_settings(const char *from, const char *to)
 {
-    const char *at = strstr(good_settings, from);
+    const char *at = strstr(valid_settings, from);
     ck_assert_ptr_nonnull(at);
-    return xasprintf("%.*s%s%s", (int)(at - good_settings), good_settings, to, at + strlen(from));
+    return xasprintf("%.*s%s%s", (int)(at - valid_settings), valid_settings, to, at + strlen(from));
 }
 
-START_TEST(settings_are_checked)
+START_TEST(validates_settings)
 {
     static const struct {
         const char *from;
         const char *to;
-        const char *named; /* what the error must name */
+        const char *expected; /* what the error must name */
     } cases[] = {
         {"10.0.0.1:2", "10.0.0.1", "readiness: '10.0.0.1'"},
         {"place: a1\ncall", "place: zz\ncall", "place: 'zz'"},
@@ -548,13 +549,13 @@
     };
     static gateway_settings_t settings;
     err_t err = {0};
-    ck_assert_msg(load_settings(good_settings, &settings, &err), "%s", err.detail);
+    ck_assert_msg(load_settings(valid_settings, &settings, &err), "%s", err.detail);
     ck_assert_uint_eq(settings.grace_ms, 6000);
     for (size_t i = 0; i < ALEN(cases); i++) {
-        char *text = changed_settings(cases[i].from, cases[i].to);
+        char *text = modified_settings(cases[i].from, cases[i].to);
         err = (err_t){0};
         ck_assert(!load_settings(text, &settings, &err));
-        ck_assert_msg(strstr(err.detail, cases[i].named) != NULL, "%s", err.detail);
+        ck_assert_msg(strstr(err.detail, cases[i].expected) != NULL, "%s", err.detail);
         free(text);
     }
 }
@@ -565,26 +566,26 @@
 {
     Suite *suite = suite_create("platform");
     TCase *tests = tcase_create("adapter");
-    tcase_add_test(tests, judges_answers);
-    tcase_add_test(tests, rewrites_a_request);
-    tcase_add_test(tests, reads_reported_load);
-    tcase_add_test(tests, reads_what_a_backend_says_of_itself);
-    tcase_add_test(tests, what_cannot_be_used_counts_as_not_there);
-    tcase_add_test(tests, own_answers_say_when_to_come_back);
-    tcase_add_test(tests, directory_speaks_the_protocol);
-    tcase_add_test(tests, decodes_a_configuration);
-    tcase_add_test(tests, decodes_as_many_routes_and_services_as_an_object_holds);
-    tcase_add_test(tests, refuses_a_broken_configuration);
-    tcase_add_test(tests, leaves_out_a_part_that_cannot_be_read);
-    tcase_add_test(tests, a_name_of_a_route_may_be_anything);
-    tcase_add_test(tests, a_field_of_the_wrong_type_counts_as_absent);
-    tcase_add_test(tests, decodes_a_backend);
-    tcase_add_test(tests, tells_the_lives_of_a_backend_apart);
-    tcase_add_test(tests, an_entry_of_another_writer_is_refused);
-    tcase_add_test(tests, one_unreadable_object_leaves_the_others_of_its_page);
-    tcase_add_test(tests, events_are_read_one_by_one);
-    tcase_add_test(tests, what_is_no_page_is_refused);
-    tcase_add_test(tests, settings_are_checked);
+    tcase_add_test(tests, classifies_backend_answers);
+    tcase_add_test(tests, rewrites_request_headers);
+    tcase_add_test(tests, parses_reported_load);
+    tcase_add_test(tests, parses_backend_notices);
+    tcase_add_test(tests, ignores_invalid_notice_fields);
+    tcase_add_test(tests, gateway_answers_carry_retry_after);
+    tcase_add_test(tests, directory_decodes_query_and_encodes_addresses);
+    tcase_add_test(tests, decodes_configuration);
+    tcase_add_test(tests, decodes_configuration_near_object_size_limit);
+    tcase_add_test(tests, rejects_invalid_configuration);
+    tcase_add_test(tests, skips_invalid_routes_and_services);
+    tcase_add_test(tests, accepts_any_route_name);
+    tcase_add_test(tests, field_of_wrong_type_gets_default);
+    tcase_add_test(tests, decodes_backend_entry);
+    tcase_add_test(tests, decodes_backend_start_time);
+    tcase_add_test(tests, rejects_malformed_backend_entry);
+    tcase_add_test(tests, unreadable_object_does_not_affect_rest_of_page);
+    tcase_add_test(tests, parses_watch_events);
+    tcase_add_test(tests, rejects_malformed_page);
+    tcase_add_test(tests, validates_settings);
     suite_add_tcase(suite, tests);
     return suite;
 }
