--- a/test/gateway/test_platform.c
+++ b/test/gateway/test_platform.c
@@ -1,4 +1,4 @@
-/* The adapter to the users' platform: its requests, answers and objects, and the settings. */
+/* Adapter to the users' platform: headers, store objects and pages; also the gateway's settings. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -33,7 +33,7 @@
     ck_assert_int_eq(platform_dialect.judge(&plain), VERDICT_ANSWER);
     wire_head_t failed = answer_head(500);
     ck_assert_int_eq(platform_dialect.judge(&failed), VERDICT_ANSWER);
-    /* A 503 alone is no promise that the request has not run. */
+    /* A 503 alone does not mean that the request was not executed. */
     wire_head_t busy = answer_head(503);
     ck_assert_int_eq(platform_dialect.judge(&busy), VERDICT_ANSWER);
     add_field(&busy, "Not-Executed", "1");
@@ -121,7 +121,7 @@
     ck_assert(notice.asks_rest && notice.rest_ms == 500);
     notice = parse_notice(429, "Retry-After", "3", NULL);
     ck_assert(notice.asks_rest && notice.rest_ms == 3000);
-    /* Only one that turns a request away asks for rest. */
+    /* Retry-After counts only in a 503 or 429. */
     notice = parse_notice(200, "Retry-After", "3", NULL);
     ck_assert(!notice.asks_rest && notice.unusable == 0);
     notice = parse_notice(503, "Retry-After", "0", NULL);
@@ -212,7 +212,7 @@
 }
 END_TEST
 
-/* A configuration of that many routes, each to a service of its own; free() the result. */
+/* A configuration with `count` routes, each to its own service; the caller frees it. */
 static char *
 config_with_routes(unsigned count)
 {
@@ -270,7 +270,7 @@
 }
 END_TEST
 
-/* One route or service that cannot be read does not keep the others out of force. */
+/* An invalid route or service must not block the rest of the configuration. */
 START_TEST(skips_invalid_routes_and_services)
 {
 #define VALID_ROUTE "\"good\":{\"host\":\"h\",\"pathPrefix\":\"/g/\",\"service\":\"s\"}"
@@ -279,7 +279,7 @@
         "\"no-host\":{\"pathPrefix\":\"/b/\",\"service\":\"s\"}",
         "\"no-prefix\":{\"host\":\"h\",\"service\":\"s\"}",
         "\"no-object\":7",
-        /* From here on it says which requests are its own. */
+        /* The routes from here on have a valid host and prefix. */
         "\"no-service\":{\"host\":\"h\",\"pathPrefix\":\"/g/b/\"}",
         "\"bad-service\":{\"host\":\"h\",\"pathPrefix\":\"/g/b/\",\"service\":\"" LONG_NAME "\"}",
         "\"bad-home\":{\"host\":\"h\",\"pathPrefix\":\"/g/b/\",\"service\":\"s\","
@@ -297,7 +297,7 @@
         ck_assert_uint_eq(config->services_left_out, 1);
         ck_assert_uint_eq(config_route(config, STR("h"), STR("/g/x"))->target_count, 1);
         ck_assert_ptr_null(config_route(config, STR("h"), STR("/b/x")));
-        /* Its requests are not those of the route that begins their paths as well. */
+        /* Requests of an invalid route must not match a route with a shorter prefix. */
         const size_t targets = config_route(config, STR("h"), STR("/g/b/x"))->target_count;
         ck_assert_uint_eq(targets, i < FIRST_WITH_HOST_AND_PREFIX ? 1 : 0);
         ck_assert_uint_eq(config_service(config, STR("s"))->max_connections, 3);
@@ -307,7 +307,6 @@
 }
 END_TEST
 
-/* The name of a route is for people only. */
 START_TEST(accepts_any_route_name)
 {
     static const char *const text = "{\"spec\":{\"routes\":{\"" LONG_NAME "/ \":{\"host\":\"h\","
@@ -357,7 +356,7 @@
 }
 END_TEST
 
-/* What each backend server writes, with one text replaced by another. */
+/* Decodes a valid backend entry in which `from` is replaced by `to`. */
 static bool
 decodes_modified_entry(const char *from, const char *to)
 {
@@ -454,7 +453,7 @@
     ck_assert(str_eq(page.items[0].name, STR("a")));
     ck_assert(str_starts_with(page.items[0].body, STR("{\"metadata\"")));
     ck_assert(str_eq(page.items[1].name, STR("b")));
-    ck_assert_uint_eq(page.items[1].body.len, 0); /* no decoder takes it */
+    ck_assert_uint_eq(page.items[1].body.len, 0); /* rejected by every decoder */
     ck_assert(str_eq(page.items[2].name, STR("e")));
     page_free(&page);
 }
@@ -521,7 +520,7 @@
     return loaded;
 }
 
-/* The good settings with one text replaced by another. */
+/* The valid settings with `from` replaced by `to`; the caller frees them. */
 static char *
 modified_settings(const char *from, const char *to)
 {
@@ -535,7 +534,7 @@
     static const struct {
         const char *from;
         const char *to;
-        const char *expected; /* what the error must name */
+        const char *expected; /* part of the error message */
     } cases[] = {
         {"10.0.0.1:2", "10.0.0.1", "readiness: '10.0.0.1'"},
         {"place: a1\ncall", "place: zz\ncall", "place: 'zz'"},
