--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -186,7 +186,8 @@
     else if (suspects_lift(admin->suspects, fingerprint, loop_now(admin->router->loop)))
         wire_respond(req, HTTP_STATUS_OK, STR(""), STR("lifted\n"));
     else
-        wire_respond(req, HTTP_STATUS_NOT_FOUND, STR(""), STR("nothing is held against that request\n"));
+        wire_respond(req, HTTP_STATUS_NOT_FOUND, STR(""),
+                     STR("nothing is held against that request\n"));
 }
 
 void
