--- a/gateway/inspect_accounts.c
+++ b/gateway/inspect_accounts.c
@@ -18,7 +18,7 @@
 static const char *
 state_of(const account_use_t *use, uint64_t now_ms)
 {
-    if (!account_use_in_touch(use, now_ms))
+    if (!account_use_is_connected(use, now_ms))
         return "owner silent";
     return use->gate.limited ? "at limit" : "below limit";
 }
@@ -29,7 +29,7 @@
 {
     wire_text_printf(out, "%-24s %8.1f %8.0f %10" PRIu64 " %8" PRIu64 " %8.2f %8.1f  %-12s %s\n",
                      use->name.ptr, account->rate_per_s, account->burst, use->used, use->refused,
-                     use->gate.share_per_s, use->room, state_of(use, loop_now(news->conf.loop)),
+                     use->gate.share_per_s, use->tokens, state_of(use, loop_now(news->conf.loop)),
                      name_of(news, use->owner));
 }
 
@@ -39,18 +39,20 @@
 {
     const uint64_t now_ms = loop_now(news->conf.loop);
     wire_text_printf(out, "owned here: room %.1f of %.1f, asked %.1f/s here, %.1f/s everywhere\n",
-                     ledger->room.tokens, ledger->room.burst, ledger_asked_per_s(ledger, now_ms),
-                     ledger_asked_everywhere(ledger, now_ms));
-    for (size_t i = 0; i < ledger->user_count; i++)
+                     ledger->bucket.tokens, ledger->bucket.burst,
+                     ledger_region_demand_per_s(ledger, now_ms),
+                     ledger_total_demand_per_s(ledger, now_ms));
+    for (size_t i = 0; i < ledger->reporter_count; i++)
         wire_text_printf(out, "  instance %-24s share %8.2f/s, heard %" PRIu64 " ms ago\n",
-                         name_of(news, ledger->users[i].source), ledger->users[i].share_per_s,
-                         now_ms - ledger->users[i].heard_ms);
+                         name_of(news, ledger->reporters[i].source),
+                         ledger->reporters[i].share_per_s,
+                         now_ms - ledger->reporters[i].last_report_ms);
     for (size_t i = 0; i < ledger->peer_count; i++) {
         const size_t region = ledger->peers[i].region;
         const topology_t *topology = news->conf.topology;
         wire_text_printf(out, "  region %-24s asked %8.1f/s, heard %" PRIu64 " ms ago\n",
                          region < topology->region_count ? topology->regions[region].ptr : "-",
-                         ledger->peers[i].asked_per_s, now_ms - ledger->peers[i].heard_ms);
+                         ledger->peers[i].demand_per_s, now_ms - ledger->peers[i].last_exchange_ms);
     }
 }
 
--- a/gateway/membership/account_exchange.c
+++ b/gateway/membership/account_exchange.c
@@ -104,7 +104,7 @@
         .kind = OWNER_OF_ACCOUNT,
         .key = ledger->id,
         .region = region,
-        .rank = (now_ms - ledger->begun_ms) / TRY_MS % OWNER_RANKS,
+        .rank = (now_ms - ledger->created_ms) / TRY_MS % OWNER_RANKS,
         .now_ms = now_ms,
     };
     const member_t *member = owner_find(&input);
@@ -123,11 +123,11 @@
     sum.source = exchange.source;
     sum.used = exchange.used;
     sum.age_ms = (uint32_t)exchange.age_ms;
-    sum.asked_per_s = leaves ? 0 : (float)exchange.asked_per_s;
-    sum.room = (float)exchange.room;
+    sum.asked_per_s = leaves ? 0 : (float)exchange.demand_per_s;
+    sum.room = (float)exchange.tokens;
     for (size_t i = 0; i < ledger->peer_count; i++) {
         const ledger_peer_t *peer = &ledger->peers[i];
-        if (now_ms - peer->heard_ms > HEARD_MS)
+        if (now_ms - peer->last_exchange_ms > HEARD_MS)
             continue;
         heard[peer->region] = true;
         add_parcel(parcels, &peer->addr, &sum);
@@ -186,8 +186,8 @@
         .addr = *from,
         .used = sum->used,
         .age_ms = sum->age_ms,
-        .asked_per_s = sum->asked_per_s,
-        .room = sum->room,
+        .demand_per_s = sum->asked_per_s,
+        .tokens = sum->room,
     };
     ledger_exchange(ledgers_get(&news->ledgers, account, now_ms), &exchange, now_ms);
     return true;
--- a/gateway/membership/account_grant.c
+++ b/gateway/membership/account_grant.c
@@ -16,7 +16,7 @@
     out->limited = grant.limited;
     out->share_per_s = (float)grant.share_per_s;
     out->region_per_s = (float)grant.region_per_s;
-    out->room = (float)grant.room;
+    out->room = (float)grant.tokens;
 }
 
 static void
@@ -53,8 +53,8 @@
     const config_account_t *account = account_news_account(news, ledger->id);
     LOG_INFO("account %s: account=%s rate_per_s=%.1f room=%.1f instances=%zu",
              ledger->limited ? "at its limit" : "below its limit",
-             account != NULL ? account->name.ptr : "-", ledger->room.rate, ledger->room.tokens,
-             ledger->user_count);
+             account != NULL ? account->name.ptr : "-", ledger->bucket.rate, ledger->bucket.tokens,
+             ledger->reporter_count);
 }
 
 /* All instances of the region are held from now on, or let go, or have another owner: also those
@@ -75,7 +75,7 @@
 {
     for (size_t i = 0; i < news->conf.members->count; i++) {
         const member_t *member = &news->conf.members->items[i];
-        if (takes_grants(news, member) && !ledger_has_user(ledger, member->incarnation))
+        if (takes_grants(news, member) && !ledger_has_reporter(ledger, member->incarnation))
             send_grant(news, member, ledger);
     }
 }
@@ -84,7 +84,7 @@
 bool
 account_grant_decide(account_news_t *news, ledger_t *ledger)
 {
-    const bool changed = ledger_decide(ledger, account_news_now(news));
+    const bool changed = ledger_update_limited(ledger, account_news_now(news));
     if (changed) {
         log_limited(news, ledger);
         tell_region(news, ledger);
@@ -105,16 +105,16 @@
     if (use->leaves) {
         ledger_t *ledger = ledgers_find(&news->ledgers, use->account);
         if (ledger != NULL)
-            ledger_forget_user(ledger, source);
+            ledger_remove_reporter(ledger, source);
     } else if (account != NULL) {
         const ledger_report_t report = {
             .used = use->used,
-            .asked = use->asked,
-            .told_used = use->told_used,
-            .told = use->owner != 0,
+            .requested = use->asked,
+            .acked_used = use->told_used,
+            .has_grant = use->owner != 0,
             .owner = use->owner,
-            .owner_silent = use->owner_silent,
-            .room = use->room,
+            .owner_unreachable = use->owner_silent,
+            .tokens = use->room,
             .share_per_s = use->share_per_s,
             .region_per_s = use->region_per_s,
         };
--- a/gateway/membership/account_news.c
+++ b/gateway/membership/account_news.c
@@ -40,8 +40,8 @@
     const account_news_t *news = ctx;
     const member_t *member = account_news_member(news, source);
     if (member == NULL || member->refuses)
-        return SOURCE_GONE;
-    return member_alive(member, account_news_now(news)) ? SOURCE_LIVES : SOURCE_LOST;
+        return SOURCE_ENDED;
+    return member_alive(member, account_news_now(news)) ? SOURCE_ALIVE : SOURCE_UNREACHABLE;
 }
 
 static void
@@ -79,7 +79,7 @@
 {
     const member_t *owner = account_exchange_owner(news, ledger->id);
     return owner != NULL && !addr_eq(&owner->peer, &news->conf.own) &&
-           ledger_is_deserted(ledger, account_news_now(news));
+           ledger_has_no_reporters(ledger, account_news_now(news));
 }
 
 static void
@@ -89,7 +89,7 @@
     const config_account_t *account = account_news_account(news, ledger->id);
     if (account != NULL)
         ledger_set_limit(ledger, account, now_ms);
-    ledger_review(ledger, view, now_ms);
+    ledger_expire_leases(ledger, view, now_ms);
     account_grant_decide(news, ledger);
     if (ledger->limited)
         account_grant_tell_rest(news, ledger);
@@ -111,7 +111,8 @@
     account_report_avoid(news, member->incarnation);
     news->reviewed_ms = 0; /* with the next tick */
     for (size_t i = 0; i < news->conf.uses->count; i++)
-        news->conf.uses->items[i]->due |= news->conf.uses->items[i]->owner == member->incarnation;
+        news->conf.uses->items[i]->report_due |=
+            news->conf.uses->items[i]->owner == member->incarnation;
     account_report_soon(news);
 }
 
@@ -140,7 +141,7 @@
 account_news_init(account_news_t *news, const account_news_conf_t *conf)
 {
     *news = (account_news_t){.conf = *conf};
-    news->ledgers.begun_ms = account_news_now(news);
+    news->ledgers.started_ms = account_news_now(news);
     news->ledgers.source = conf->incarnation;
     uv_timer_init(conf->loop, &news->reports);
     uv_timer_init(conf->loop, &news->work);
--- a/gateway/membership/account_report.c
+++ b/gateway/membership/account_report.c
@@ -55,7 +55,7 @@
         return;
     if (grant->in_place_of != 0 && use->owner == grant->in_place_of) {
         account_report_avoid(news, use->owner);
-        use->due = true;
+        use->report_due = true;
         account_report_soon(news);
     }
     if (use->owner == 0)
@@ -63,17 +63,17 @@
     if (use->owner != owner)
         return;
     if (grant->has_told) {
-        use->told_used = grant->told_used;
-        use->waiting_ms = 0;
-        use->unanswered_ms = 0;
+        use->acked_used = grant->told_used;
+        use->unanswered_since_ms = 0;
+        use->owner_unanswered_since_ms = 0;
     }
     if (grant->unknown) {
         use->gate = (account_gate_t){0};
         return;
     }
     account_gate_tell(&use->gate, grant->limited, grant->share_per_s, account_news_now(news));
-    use->told_owner = owner;
-    use->room = grant->room;
+    use->grant_owner = owner;
+    use->tokens = grant->room;
     use->region_per_s = grant->region_per_s;
     if (grant->limited)
         account_report_soon(news);
@@ -117,11 +117,11 @@
     iris__account_use__init(out);
     out->account = use->id;
     out->used = use->used;
-    out->asked = use->asked;
-    out->told_used = use->told_used;
-    out->owner = use->told_owner;
-    out->owner_silent = is_silent(news, use->told_owner);
-    out->room = (float)use->room;
+    out->asked = use->requested;
+    out->told_used = use->acked_used;
+    out->owner = use->grant_owner;
+    out->owner_silent = is_silent(news, use->grant_owner);
+    out->room = (float)use->tokens;
     out->share_per_s = (float)use->gate.share_per_s;
     out->region_per_s = (float)use->region_per_s;
 }
@@ -178,7 +178,8 @@
 static bool
 is_unanswered(const account_use_t *use, uint64_t now_ms)
 {
-    return use->unanswered_ms != 0 && now_ms - use->unanswered_ms > ANSWER_MS;
+    return use->owner_unanswered_since_ms != 0 &&
+           now_ms - use->owner_unanswered_since_ms > ANSWER_MS;
 }
 
 /* The owner that was reported to is not to take what this instance spends from now on for unseen.
@@ -203,18 +204,18 @@
     if (is_unanswered(use, now_ms)) {
         if (account_report_avoid(news, use->owner))
             LOG_INFO("owner of an account gives no answer: account=%s after_ms=%llu", use->name.ptr,
-                     (unsigned long long)(now_ms - use->unanswered_ms));
-    } else if (!account_use_is_due(use, now_ms))
+                     (unsigned long long)(now_ms - use->owner_unanswered_since_ms));
+    } else if (!account_use_report_is_due(use, now_ms))
         return false;
     member_t *owner = account_exchange_owner(news, use->id);
-    use->due = false;
-    use->sent_ms = now_ms;
-    if (use->waiting_ms == 0)
-        use->waiting_ms = now_ms;
+    use->report_due = false;
+    use->last_report_ms = now_ms;
+    if (use->unanswered_since_ms == 0)
+        use->unanswered_since_ms = now_ms;
     if (owner == NULL)
         return false;
-    if (use->unanswered_ms == 0 || use->owner != owner->incarnation)
-        use->unanswered_ms = now_ms;
+    if (use->owner_unanswered_since_ms == 0 || use->owner != owner->incarnation)
+        use->owner_unanswered_since_ms = now_ms;
     if (use->owner != owner->incarnation)
         leave_owner(news, use);
     use->owner = owner->incarnation;
@@ -245,7 +246,7 @@
 {
     for (size_t i = 0; i < uses->count; i++) {
         const account_use_t *use = uses->items[i];
-        if (use->due || use->waiting_ms != 0 || use->gate.limited)
+        if (use->report_due || use->unanswered_since_ms != 0 || use->gate.limited)
             return true;
     }
     return false;
@@ -265,7 +266,7 @@
 on_timer(uv_timer_t *timer)
 {
     account_news_t *news = timer->data;
-    if (account_news_now(news) - news->ledgers.begun_ms >= SETTLE_MS)
+    if (account_news_now(news) - news->ledgers.started_ms >= SETTLE_MS)
         report_all(news);
     if (has_more(news->conf.uses))
         uv_timer_start(&news->reports, on_timer, REPORT_MS, 0);
--- a/gateway/path/exchange_state.c
+++ b/gateway/path/exchange_state.c
@@ -55,7 +55,7 @@
     if (ex->use == NULL)
         return;
     if (ex->admitted && ex->runs == 0)
-        account_uses_give_back(ex->owner->account_uses, ex->use);
+        account_uses_refund(ex->owner->account_uses, ex->use);
     account_uses_release(ex->use);
     ex->use = NULL;
 }
--- a/gateway/state/account_ledgers.c
+++ b/gateway/state/account_ledgers.c
@@ -8,13 +8,13 @@
 
 /* A ledger begins with this part of its bucket where all instances may have started at once: each
  * start must not hand out a burst anew, and the first second must not be refused. Chosen. */
-#define FIRST_ROOM 0.5
+#define STARTUP_FILL 0.5
 
 enum {
     ITEMS_START = 8,
     /* Uptime of the instance below which all may have started at once. Chosen: two heartbeats and a
      * restart of a process. */
-    STARTED_LATELY_MS = 5000,
+    STARTUP_MS = 5000,
 };
 
 typedef struct {
@@ -53,10 +53,11 @@
         ledgers->size = ledgers->size > 0 ? ledgers->size * 2 : ITEMS_START;
         ledgers->items = xrealloc(ledgers->items, ledgers->size * sizeof(*ledgers->items));
     }
-    const bool lately = now_ms - ledgers->begun_ms < STARTED_LATELY_MS;
+    const bool is_starting = now_ms - ledgers->started_ms < STARTUP_MS;
     memmove(&ledgers->items[at + 1], &ledgers->items[at],
             (ledgers->count - at) * sizeof(*ledgers->items));
-    ledgers->items[at] = ledger_new(account, ledgers->source, lately ? FIRST_ROOM : 1, now_ms);
+    ledgers->items[at] =
+        ledger_new(account, ledgers->source, is_starting ? STARTUP_FILL : 1, now_ms);
     ledgers->count++;
     return ledgers->items[at];
 }
@@ -78,7 +79,7 @@
     size_t kept = 0;
     for (size_t i = 0; i < ledgers->count; i++) {
         ledger_t *ledger = ledgers->items[i];
-        if (ledger_has_rested(ledger, now_ms))
+        if (ledger_is_idle(ledger, now_ms))
             ledger_free(ledger);
         else
             ledgers->items[kept++] = ledger;
--- a/gateway/state/account_ledgers.h
+++ b/gateway/state/account_ledgers.h
@@ -11,8 +11,8 @@
     ledger_t **items; /* sorted by id; a ledger never moves */
     size_t count;
     size_t size;
-    uint64_t begun_ms; /* when this instance started */
-    uint64_t source;   /* its random number */
+    uint64_t started_ms; /* when this instance started */
+    uint64_t source;     /* its random number */
 } ledgers_t;
 
 /* NULL if there is none. */
--- a/gateway/state/account_uses.c
+++ b/gateway/state/account_uses.c
@@ -13,15 +13,15 @@
      * 120 ms until the next owner was asked, a fleet that started as a whole took itself for cut
      * off: 11,244 tries of a day were told 429, 486 with these. What a cut instance lets through in
      * it is unseen. */
-    OUT_OF_TOUCH_MS = 400,
+    ANSWER_TIMEOUT_MS = 400,
     /* The same for an instance that was told nothing yet: it cannot tell what its part is. */
-    FIRST_ANSWER_MS = 1500,
+    FIRST_ANSWER_TIMEOUT_MS = 1500,
     /* How often an instance that is held says that it is in touch: the owner takes what it was lent
      * for spent where it is silent for twice as long. Chosen. */
-    IN_TOUCH_MS = 200,
+    KEEPALIVE_MS = 200,
     /* Rest after which an entry is forgotten: its share has filled the bucket long before. Chosen
      */
-    FORGET_MS = 30000,
+    IDLE_EXPIRY_MS = 30000,
 };
 
 typedef struct {
@@ -63,7 +63,7 @@
     account_use_t *use = xcalloc(1, sizeof(*use));
     use->id = account->id;
     use->name = account->name;
-    use->touched_ms = now_ms;
+    use->last_request_ms = now_ms;
     memmove(&uses->items[at + 1], &uses->items[at], (uses->count - at) * sizeof(*uses->items));
     uses->items[at] = use;
     uses->count++;
@@ -71,28 +71,28 @@
 }
 
 static void
-make_due(account_uses_t *uses, account_use_t *use)
+mark_report_due(account_uses_t *uses, account_use_t *use)
 {
-    use->due = true;
+    use->report_due = true;
     if (uses->on_due != NULL)
         uses->on_due(uses->ctx);
 }
 
 bool
-account_use_in_touch(const account_use_t *use, uint64_t now_ms)
+account_use_is_connected(const account_use_t *use, uint64_t now_ms)
 {
-    const uint64_t patience_ms = use->gate.told ? OUT_OF_TOUCH_MS : FIRST_ANSWER_MS;
-    return use->waiting_ms == 0 || now_ms - use->waiting_ms <= patience_ms;
+    const uint64_t timeout_ms = use->gate.told ? ANSWER_TIMEOUT_MS : FIRST_ANSWER_TIMEOUT_MS;
+    return use->unanswered_since_ms == 0 || now_ms - use->unanswered_since_ms <= timeout_ms;
 }
 
 bool
-account_use_is_due(const account_use_t *use, uint64_t now_ms)
+account_use_report_is_due(const account_use_t *use, uint64_t now_ms)
 {
-    return use->due || (use->gate.limited && now_ms - use->sent_ms >= IN_TOUCH_MS);
+    return use->report_due || (use->gate.limited && now_ms - use->last_report_ms >= KEEPALIVE_MS);
 }
 
 bool
-account_uses_admit(account_uses_t *uses, const config_account_t *account, double point,
+account_uses_admit(account_uses_t *uses, const config_account_t *account, double random_fraction,
                    uint64_t now_ms, account_use_t **out, uint32_t *retry_after_ms)
 {
     *out = NULL;
@@ -100,21 +100,21 @@
         return true;
     account_use_t *use = account_uses_get(uses, account, now_ms);
     const account_gate_input_t input = {
-        .in_touch = account_use_in_touch(use, now_ms),
+        .in_touch = account_use_is_connected(use, now_ms),
         .even_share = account->rate_per_s / (uses->instances > 0 ? uses->instances : 1),
-        .room_part = use->gate.told ? use->room * use->gate.share_per_s / account->rate_per_s : 1,
-        .unseen = use->used - use->told_used,
+        .room_part = use->gate.told ? use->tokens * use->gate.share_per_s / account->rate_per_s : 1,
+        .unseen = use->used - use->acked_used,
         .now_ms = now_ms,
     };
     const bool admitted = account_gate_admits(&use->gate, &input);
-    use->under_way++;
-    use->touched_ms = now_ms;
-    use->asked++;
+    use->refs++;
+    use->last_request_ms = now_ms;
+    use->requested++;
     use->used += admitted;
     use->refused += !admitted;
     if (!admitted)
-        *retry_after_ms = account_gate_retry_after_ms(&use->gate, point);
-    make_due(uses, use);
+        *retry_after_ms = account_gate_retry_after_ms(&use->gate, random_fraction);
+    mark_report_due(uses, use);
     *out = use;
     return admitted;
 }
@@ -123,22 +123,22 @@
 account_uses_charge(account_uses_t *uses, account_use_t *use)
 {
     use->used++;
-    make_due(uses, use);
+    mark_report_due(uses, use);
 }
 
 void
-account_uses_give_back(account_uses_t *uses, account_use_t *use)
+account_uses_refund(account_uses_t *uses, account_use_t *use)
 {
     use->used--;
     account_gate_give_back(&use->gate);
-    make_due(uses, use);
+    mark_report_due(uses, use);
 }
 
 void
 account_uses_release(account_use_t *use)
 {
-    xassert(use->under_way > 0);
-    use->under_way--;
+    xassert(use->refs > 0);
+    use->refs--;
 }
 
 void
@@ -147,7 +147,7 @@
     size_t kept = 0;
     for (size_t i = 0; i < uses->count; i++) {
         account_use_t *use = uses->items[i];
-        if (use->under_way == 0 && now_ms - use->touched_ms > FORGET_MS)
+        if (use->refs == 0 && now_ms - use->last_request_ms > IDLE_EXPIRY_MS)
             free(use);
         else
             uses->items[kept++] = use;
--- a/gateway/state/account_uses.h
+++ b/gateway/state/account_uses.h
@@ -20,19 +20,21 @@
     uint64_t id; /* of the account */
     name_t name;
     account_gate_t gate;
-    uint64_t used;          /* requests let through, less those that were never sent */
-    uint64_t asked;         /* requests that came */
-    uint64_t refused;       /* of these */
-    uint64_t told_used;     /* up to which an owner has answered */
-    uint64_t owner;         /* incarnation of the instance that was reported to */
-    uint64_t sent_ms;       /* last report */
-    uint64_t unanswered_ms; /* when the oldest report to that instance without an answer was sent */
-    uint64_t waiting_ms;    /* when the oldest report without an answer was sent; 0: none */
-    uint64_t touched_ms;    /* last request */
-    uint32_t under_way;     /* requests that hold the entry */
-    bool due;               /* there is something to report */
-    uint64_t told_owner; /* incarnation of the owner that told the gate's share, and what follows */
-    double room;         /* in the account's bucket, in requests */
+    uint64_t used;                      /* requests let through, less those that were never sent */
+    uint64_t requested;                 /* requests that came */
+    uint64_t refused;                   /* of these */
+    uint64_t acked_used;                /* up to which an owner has answered */
+    uint64_t owner;                     /* incarnation of the instance that was reported to */
+    uint64_t last_report_ms;            /* last report */
+    uint64_t owner_unanswered_since_ms; /* when the oldest report to that instance without an answer
+                                           was sent */
+    uint64_t unanswered_since_ms; /* when the oldest report without an answer was sent; 0: none */
+    uint64_t last_request_ms;     /* last request */
+    uint32_t refs;                /* requests that hold the entry */
+    bool report_due;              /* there is something to report */
+    uint64_t
+        grant_owner;     /* incarnation of the owner that told the gate's share, and what follows */
+    double tokens;       /* in the account's bucket, in requests */
     double region_per_s; /* share of the region */
 } account_use_t;
 
@@ -56,18 +58,19 @@
 /* A request of the account has come: true if it may go on; else `retry_after_ms` is when its caller
  * may come back, with a random `point` in [0, 1). The entry is held either way until
  * account_uses_release(); NULL without a limit. */
-bool account_uses_admit(account_uses_t *uses, const config_account_t *account, double point,
-                        uint64_t now_ms, account_use_t **out, uint32_t *retry_after_ms);
+bool account_uses_admit(account_uses_t *uses, const config_account_t *account,
+                        double random_fraction, uint64_t now_ms, account_use_t **out,
+                        uint32_t *retry_after_ms);
 /* It is sent to one more backend server, and runs there once more. */
 void account_uses_charge(account_uses_t *uses, account_use_t *use);
 /* The admitted request has not been run. */
-void account_uses_give_back(account_uses_t *uses, account_use_t *use);
+void account_uses_refund(account_uses_t *uses, account_use_t *use);
 void account_uses_release(account_use_t *use);
 /* True if the owner answers, or has nothing to answer. */
-bool account_use_in_touch(const account_use_t *use, uint64_t now_ms);
+bool account_use_is_connected(const account_use_t *use, uint64_t now_ms);
 /* True if there is something to report: requests, or, while instances are held, that this one is in
  * touch. */
-bool account_use_is_due(const account_use_t *use, uint64_t now_ms);
+bool account_use_report_is_due(const account_use_t *use, uint64_t now_ms);
 /* Regular work: forgets what has rested. */
 void account_uses_expire(account_uses_t *uses, uint64_t now_ms);
 void account_uses_free(account_uses_t *uses);
--- a/test/gateway/account_model.c
+++ b/test/gateway/account_model.c
@@ -181,10 +181,10 @@
     const unsigned self = (unsigned)((const node_t *)(const void *)pair[1] - model->nodes);
     const unsigned index = (unsigned)(source & 0xffffffffU) - 1;
     if (model->nodes[self].refuses[index])
-        return SOURCE_GONE;
+        return SOURCE_ENDED;
     if (!seems_alive(model, self, index))
-        return SOURCE_LOST;
-    return source_of(model, index) == source ? SOURCE_LIVES : SOURCE_GONE;
+        return SOURCE_UNREACHABLE;
+    return source_of(model, index) == source ? SOURCE_ALIVE : SOURCE_ENDED;
 }
 
 static bool
@@ -208,7 +208,7 @@
     node->reviewed_ms = 0;
     account_use_t *use = account_uses_find(&node->uses, model->account.id);
     if (use != NULL && use->owner == other) {
-        use->due = true;
+        use->report_due = true;
         node->report_ms = model->now_ms + REPORT_MS;
     }
 }
@@ -217,15 +217,15 @@
 send_report(model_t *model, unsigned self, account_use_t *use)
 {
     node_t *node = &model->nodes[self];
-    if (use->owner < model->conf.instances && use->unanswered_ms != 0 &&
-        model->now_ms - use->unanswered_ms > ANSWER_MS)
+    if (use->owner < model->conf.instances && use->owner_unanswered_since_ms != 0 &&
+        model->now_ms - use->owner_unanswered_since_ms > ANSWER_MS)
         node->avoided_until[use->owner] = model->now_ms + AVOID_MS;
     const unsigned owner = owner_of(model, self);
-    use->due = false;
-    use->sent_ms = model->now_ms;
-    if (use->unanswered_ms == 0 || use->owner != owner)
-        use->unanswered_ms = model->now_ms;
-    if (use->owner != owner && use->owner < model->conf.instances && use->told_owner != 0) {
+    use->report_due = false;
+    use->last_report_ms = model->now_ms;
+    if (use->owner_unanswered_since_ms == 0 || use->owner != owner)
+        use->owner_unanswered_since_ms = model->now_ms;
+    if (use->owner != owner && use->owner < model->conf.instances && use->grant_owner != 0) {
         const message_t left = {.kind = MESSAGE_REPORT,
                                 .from = self,
                                 .to = (unsigned)use->owner,
@@ -234,8 +234,8 @@
         post(model, &left);
     }
     use->owner = owner;
-    if (use->waiting_ms == 0)
-        use->waiting_ms = model->now_ms;
+    if (use->unanswered_since_ms == 0)
+        use->unanswered_since_ms = model->now_ms;
     const message_t message = {
         .kind = MESSAGE_REPORT,
         .from = self,
@@ -244,12 +244,12 @@
         .report =
             {
                 .used = use->used,
-                .asked = use->asked,
-                .told_used = use->told_used,
-                .told = use->told_owner != 0,
-                .owner = use->told_owner,
-                .owner_silent = is_silent(model, self, use->told_owner),
-                .room = use->room,
+                .requested = use->requested,
+                .acked_used = use->acked_used,
+                .has_grant = use->grant_owner != 0,
+                .owner = use->grant_owner,
+                .owner_unreachable = is_silent(model, self, use->grant_owner),
+                .tokens = use->tokens,
                 .share_per_s = use->gate.share_per_s,
                 .region_per_s = use->region_per_s,
             },
@@ -263,7 +263,7 @@
 {
     for (unsigned i = 0; i < model->conf.instances; i++) {
         if (model->nodes[i].region != model->nodes[self].region || !seems_alive(model, self, i) ||
-            (!all && ledger_has_user(ledger, source_of(model, i))))
+            (!all && ledger_has_reporter(ledger, source_of(model, i))))
             continue;
         const message_t message = {
             .kind = MESSAGE_GRANT,
@@ -284,14 +284,14 @@
     if (message->leaves) {
         ledger_t *left = ledgers_find(&node->ledgers, model->account.id);
         if (left != NULL)
-            ledger_forget_user(left, message->source);
+            ledger_remove_reporter(left, message->source);
         return;
     }
     ledger_t *ledger = ledgers_get(&node->ledgers, &model->account, model->now_ms);
     ledger_set_limit(ledger, &model->account, model->now_ms);
     const uint64_t before = ledger_predecessor(ledger);
     ledger_report(ledger, message->source, &message->report, model->now_ms);
-    if (ledger_decide(ledger, model->now_ms) || ledger_predecessor(ledger) != before)
+    if (ledger_update_limited(ledger, model->now_ms) || ledger_predecessor(ledger) != before)
         tell_region(model, message->to, ledger, true);
     const message_t answer = {
         .kind = MESSAGE_GRANT,
@@ -317,20 +317,20 @@
     if (use != NULL && message->in_place_of != 0 && use->owner != message->from &&
         source_of(model, (unsigned)use->owner) == message->in_place_of) {
         node->avoided_until[use->owner] = model->now_ms + AVOID_MS;
-        use->due = true;
+        use->report_due = true;
         node->report_ms = model->now_ms;
     }
     if (use == NULL || use->owner != message->from)
         return;
     if (message->is_answer) {
-        use->told_used = message->told_used;
-        use->waiting_ms = 0;
-        use->unanswered_ms = 0;
+        use->acked_used = message->told_used;
+        use->unanswered_since_ms = 0;
+        use->owner_unanswered_since_ms = 0;
     }
     account_gate_tell(&use->gate, message->grant.limited, message->grant.share_per_s,
                       model->now_ms);
-    use->told_owner = message->source;
-    use->room = message->grant.room;
+    use->grant_owner = message->source;
+    use->tokens = message->grant.tokens;
     use->region_per_s = message->grant.region_per_s;
     if (message->grant.limited && node->report_ms == 0)
         node->report_ms = model->now_ms + REPORT_MS;
@@ -362,15 +362,15 @@
     message_t message = {.kind = MESSAGE_EXCHANGE, .from = self};
     message.exchange = ledger_next_exchange(ledger, model->now_ms);
     if (leaves)
-        message.exchange.asked_per_s = 0;
+        message.exchange.demand_per_s = 0;
     message.exchange.region = node->region;
     message.exchange.addr.v4.sin_port = (in_port_t)self; /* its number in place of an address */
     for (unsigned region = 0; region < REGIONS; region++) {
-        const unsigned rank = (unsigned)((model->now_ms - ledger->begun_ms) / 100 % 8);
+        const unsigned rank = (unsigned)((model->now_ms - ledger->created_ms) / 100 % 8);
         bool heard = false;
         for (size_t i = 0; i < ledger->peer_count; i++) {
             if (ledger->peers[i].region != region ||
-                model->now_ms - ledger->peers[i].heard_ms > 1200)
+                model->now_ms - ledger->peers[i].last_exchange_ms > 1200)
                 continue;
             heard = true;
             message.to = ledger->peers[i].addr.v4.sin_port;
@@ -391,14 +391,14 @@
     const model_t *pair[] = {model, (const model_t *)(const void *)node};
     if (ledger == NULL)
         return;
-    if (ledger->limited && ledger_decide(ledger, model->now_ms))
+    if (ledger->limited && ledger_update_limited(ledger, model->now_ms))
         tell_region(model, self, ledger, true);
     if (ledger_exchange_is_due(ledger, model->now_ms))
         send_exchange(model, self, ledger, false);
     if (model->now_ms - node->reviewed_ms < REVIEW_MS)
         return;
     node->reviewed_ms = model->now_ms;
-    if (owner_of(model, self) != self && ledger_is_deserted(ledger, model->now_ms)) {
+    if (owner_of(model, self) != self && ledger_has_no_reporters(ledger, model->now_ms)) {
         send_exchange(model, self, ledger, true);
         ledgers_remove(&node->ledgers, ledger);
         return;
@@ -408,8 +408,8 @@
         living += seems_alive(model, self, i);
     const ledger_view_t view = {state_of, pair, 2 * living * REGIONS > model->conf.instances};
     ledger_set_limit(ledger, &model->account, model->now_ms);
-    ledger_review(ledger, &view, model->now_ms);
-    if (ledger_decide(ledger, model->now_ms))
+    ledger_expire_leases(ledger, &view, model->now_ms);
+    if (ledger_update_limited(ledger, model->now_ms))
         tell_region(model, self, ledger, true);
     else if (ledger->limited)
         tell_region(model, self, ledger, false);
@@ -422,10 +422,11 @@
     account_use_t *use = account_uses_find(&node->uses, model->account.id);
     if (use == NULL || node->report_ms == 0 || model->now_ms < node->report_ms)
         return;
-    const bool late = use->unanswered_ms != 0 && model->now_ms - use->unanswered_ms > ANSWER_MS;
-    if (account_use_is_due(use, model->now_ms) || late)
+    const bool late = use->owner_unanswered_since_ms != 0 &&
+                      model->now_ms - use->owner_unanswered_since_ms > ANSWER_MS;
+    if (account_use_report_is_due(use, model->now_ms) || late)
         send_report(model, self, use);
-    const bool more = use->waiting_ms != 0 || use->gate.limited;
+    const bool more = use->unanswered_since_ms != 0 || use->gate.limited;
     node->report_ms = more ? model->now_ms + REPORT_MS : 0;
 }
 
@@ -562,7 +563,7 @@
     account_uses_free(&node->uses);
     ledgers_free(&node->ledgers);
     node->lives++;
-    node->ledgers.begun_ms = model->now_ms;
+    node->ledgers.started_ms = model->now_ms;
     node->ledgers.source = source_of(model, index);
     node->report_ms = 0;
     bucket_init(&node->part, 0, 1, model->now_ms);
@@ -719,7 +720,7 @@
         model.nodes[i].refuses = xcalloc(conf->instances, sizeof(bool));
         start_node(&model, i);
         if (!conf->cold_start)
-            model.nodes[i].ledgers.begun_ms = 0;
+            model.nodes[i].ledgers.started_ms = 0;
     }
     for (; model.now_ms < FIRST_MS + conf->length_ms; model.now_ms += STEP_MS)
         step(&model);
--- a/test/gateway/test_accounts.c
+++ b/test/gateway/test_accounts.c
@@ -353,20 +353,20 @@
 {
     config_account_t account = {.id = 1, .rate_per_s = 10, .burst = 100};
     ledger_t *ledger = ledger_new(&account, 9, 0.1, 1000);
-    ledger_report_t report = {.used = 5, .asked = 20};
+    ledger_report_t report = {.used = 5, .requested = 20};
     ledger_report(ledger, 7, &report, 1000);
-    ck_assert(ledger_decide(ledger, 1000));
+    ck_assert(ledger_update_limited(ledger, 1000));
     ck_assert(ledger->limited);
     const ledger_grant_t grant = ledger_grant(ledger, 7, 1000);
     ck_assert(grant.limited && grant.share_per_s > 5);
     report.share_per_s = grant.share_per_s;
     ledger_report(ledger, 7, &report, 1000);
-    const double before = ledger->room.tokens;
-    ledger_decide(ledger, 3000);
-    ck_assert(ledger->room.tokens < before + 20 - 1.5 * grant.share_per_s);
+    const double before = ledger->bucket.tokens;
+    ledger_update_limited(ledger, 3000);
+    ck_assert(ledger->bucket.tokens < before + 20 - 1.5 * grant.share_per_s);
     report.used += 2;
     ledger_report(ledger, 7, &report, 3000);
-    ck_assert_double_eq_tol(ledger->room.tokens, before + 20 - 2, 0.5);
+    ck_assert_double_eq_tol(ledger->bucket.tokens, before + 20 - 2, 0.5);
     ledger_free(ledger);
 }
 END_TEST
@@ -379,22 +379,22 @@
     ledger_t *ledger = ledger_new(&account, 9, 1, 1000);
     ledger_report_t report = {
         .used = 2,
-        .asked = 2,
-        .told = true,
+        .requested = 2,
+        .has_grant = true,
         .owner = 8,
-        .owner_silent = true,
-        .room = 3999,
+        .owner_unreachable = true,
+        .tokens = 3999,
         .share_per_s = 60,
         .region_per_s = 1300,
     };
     ledger_report(ledger, 7, &report, 1000);
-    ck_assert(ledger->room.tokens < 100);
-    ck_assert(!ledger_decide(ledger, 1000));
+    ck_assert(ledger->bucket.tokens < 100);
+    ck_assert(!ledger_update_limited(ledger, 1000));
     /* One that was held to its shares stays so. */
     ledger_t *held = ledger_new(&account, 9, 1, 1000);
-    report.room = 100;
+    report.tokens = 100;
     ledger_report(held, 7, &report, 1000);
-    ck_assert(ledger_decide(held, 1000) && held->limited);
+    ck_assert(ledger_update_limited(held, 1000) && held->limited);
     ledger_free(ledger);
     ledger_free(held);
 }
@@ -411,7 +411,7 @@
     ck_assert_uint_eq(use->used, 2);
     account_uses_release(use);
     ck_assert(account_uses_admit(&uses, &account, 0, 1000, &use, &retry_after_ms));
-    account_uses_give_back(&uses, use);
+    account_uses_refund(&uses, use);
     account_uses_release(use);
     ck_assert_uint_eq(use->used, 2);
     account.rate_per_s = 0; /* no limit, nothing kept */
