--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -43,8 +43,8 @@
     int64_t resting = 0;
     for (size_t i = 0; i < router->catalog.backends.count; i++) {
         const backend_t *backend = router->catalog.backends.items[i];
-        leaving += backend_is_leaving(backend) || backend->hall_closed || backend->departed;
-        limited += backend->limit.named;
+        leaving += backend_is_leaving(backend) || backend->hall_closed || backend->replaced;
+        limited += backend->limit.is_set;
         resting += rest_is_on(&backend->rest, now);
         cold += backend_is_cold(backend, now);
         avoided += health_is_avoided(&backend->health, now);
@@ -126,7 +126,7 @@
               (int64_t)router->catalog.refused.revision);
     set_gauge("irisstall_config_left_out",
               "Routes and services of the configuration in force that could not be read.",
-              router->catalog.config != NULL ? (int64_t)config_left_out(router->catalog.config)
+              router->catalog.config != NULL ? (int64_t)config_skipped_count(router->catalog.config)
                                              : 0);
     set_gauge("irisstall_instances_living", "Instances heard of, this one too.", router->living);
     set_gauge("irisstall_upstreams", "Upstreams known.", (int64_t)router->catalog.backends.count);
--- a/gateway/gateway_news.c
+++ b/gateway/gateway_news.c
@@ -13,7 +13,7 @@
     const uint64_t here = gateway->config_work.asked_for ? view->at : 0;
     const uint64_t theirs = members_newer_view(&gateway->members, VIEW_CONFIG, view->at,
                                                view->digest, loop_now(gateway->loop));
-    gateway->router.catalog.newer_at = theirs > here ? theirs : here;
+    gateway->router.catalog.newer_revision = theirs > here ? theirs : here;
 }
 
 void
@@ -81,7 +81,7 @@
 gateway_on_delta(void *ctx, const view_delta_t *delta)
 {
     gateway_t *gateway = ctx;
-    view_push_changed(&gateway->view_push, delta, &gateway->router.catalog.fresh);
+    view_push_changed(&gateway->view_push, delta, &gateway->router.catalog.new_departures);
 }
 
 /* Names that no backend server can have are left out. */
--- a/gateway/inspect.c
+++ b/gateway/inspect.c
@@ -97,7 +97,7 @@
 print_missing_config(const catalog_t *catalog, wire_text_t *out)
 {
     const refused_config_t *refused = &catalog->refused;
-    const size_t left_out = catalog->config != NULL ? config_left_out(catalog->config) : 0;
+    const size_t left_out = catalog->config != NULL ? config_skipped_count(catalog->config) : 0;
     if (left_out > 0)
         wire_text_printf(out, "configuration in force without %zu parts that could not be read\n",
                          left_out);
@@ -105,9 +105,9 @@
         wire_text_printf(out, "configuration refused: revision %llu, %s: %s\n",
                          (unsigned long long)refused->revision, err_name(refused->err.code),
                          refused->err.detail);
-    if (catalog->newer_at > 0)
+    if (catalog->newer_revision > 0)
         wire_text_printf(out, "configuration behind: a peer's is as of revision %llu\n",
-                         (unsigned long long)catalog->newer_at);
+                         (unsigned long long)catalog->newer_revision);
 }
 
 static void
@@ -157,17 +157,17 @@
 print_told(const backend_t *backend, uint64_t now, wire_text_t *out)
 {
     wire_text_printf(out, ", sent %llu", (unsigned long long)backend->sends);
-    if (backend->limit.named)
+    if (backend->limit.is_set)
         wire_text_printf(out, ", takes %g/s, as told %llu ms ago", backend->limit.per_s,
-                         (unsigned long long)(now - backend->limit.said_ms));
-    if (backend->says_leaving)
+                         (unsigned long long)(now - backend->limit.stated_ms));
+    if (backend->stated_leaving)
         wire_text_str(out, STR(", told that it leaves"));
 }
 
 static const char *
 why_not(const backend_t *backend, uint64_t now)
 {
-    if (!backend->listed || backend->departed)
+    if (!backend->listed || backend->replaced)
         return "gone";
     if (backend_is_leaving(backend))
         return "leaving";
@@ -204,7 +204,7 @@
             continue;
         wire_text_printf(out, "  %-24s %-16s load %.1f of %u, work %.0f ms, %s",
                          backend->info.id.ptr, backend->info.hall.ptr, backend_load(backend, now),
-                         backend->info.capacity, backend->work_ms, why_not(backend, now));
+                         backend->info.capacity, backend->service_time_ms, why_not(backend, now));
         print_told(backend, now, out);
         wire_text_str(out, STR("\n"));
     }
@@ -221,8 +221,8 @@
     }
     wire_text_printf(out, "route %s, prefix %.200s, %s, aim %u ms, limit %u ms, attempts %u\n",
                      route->name.ptr, route->prefix,
-                     route->repeatable ? "may be repeated" : "runs at most once", route->aim_ms,
-                     route->timeout_ms, route->max_attempts);
+                     route->repeatable ? "may be repeated" : "runs at most once",
+                     route->latency_objective_ms, route->timeout_ms, route->max_attempts);
     for (size_t i = 0; i < route->target_count; i++) {
         wire_text_printf(out, "service %s, weight %g\n", route->targets[i].service.ptr,
                          route->targets[i].weight);
--- a/gateway/membership/heartbeat.c
+++ b/gateway/membership/heartbeat.c
@@ -273,7 +273,7 @@
     for (size_t i = 0; i < message->n_outcomes; i++) {
         const Iris__Outcomes *outcomes = message->outcomes[i];
         backend_t *backend = backends_find(backends, str_from(outcomes->backend));
-        if (backend != NULL && backend_life_order(outcomes->born, backend->info.born) == 0)
+        if (backend != NULL && backend_incarnation_order(outcomes->born, backend->info.born) == 0)
             health_add_report(&backend->health, outcomes->good, outcomes->bad, now_ms);
     }
 }
--- a/gateway/membership/notice_news.c
+++ b/gateway/membership/notice_news.c
@@ -69,7 +69,7 @@
 has_untold(const notices_t *notices)
 {
     for (size_t i = 0; i < notices->count; i++) {
-        if (notices->items[i].untold)
+        if (notices->items[i].unpublished)
             return true;
     }
     return false;
@@ -89,9 +89,9 @@
     message.items = list;
     for (size_t i = 0; i < notices->count; i++) {
         notice_t *notice = &notices->items[i];
-        if (!notice->untold)
+        if (!notice->unpublished)
             continue;
-        notice->untold = false;
+        notice->unpublished = false;
         notice_message_fill(&items[message.n_items], notice, now_ms);
         list[message.n_items] = &items[message.n_items];
         message.n_items++;
@@ -112,7 +112,7 @@
     for (size_t i = 0; i < count; i++) {
         notice_t notice;
         if (notice_message_read(items[i], &notice, now_ms))
-            catalog_take_notice(news->conf.catalog, &notice, NOTICE_OF_PEER);
+            catalog_merge_notice(news->conf.catalog, &notice, NOTICE_FROM_PEER);
     }
 }
 
--- a/gateway/membership/permit_exchange.c
+++ b/gateway/membership/permit_exchange.c
@@ -113,10 +113,10 @@
 static bool
 take(permit_exchange_t *exchange, const notice_t *notice, uint32_t *wait_ms)
 {
-    if (!notice->limit.named)
+    if (!notice->limit.is_set)
         return true;
     const permit_rate_t rate = rate_of(exchange, notice->limit.per_s);
-    const uint64_t life = backend_life(name_str(&notice->backend), notice->born);
+    const uint64_t life = backend_incarnation_hash(name_str(&notice->backend), notice->born);
     return permits_take(&exchange->permits, life, rate, now_of(exchange), wait_ms);
 }
 
@@ -186,7 +186,7 @@
     notice_t notice;
     if (message->notice == NULL || !notice_message_read(message->notice, &notice, now_of(exchange)))
         return;
-    catalog_take_notice(exchange->conf.catalog, &notice, NOTICE_OF_PERMIT);
+    catalog_merge_notice(exchange->conf.catalog, &notice, NOTICE_FROM_PERMIT);
     if (!forward(exchange, message, &notice))
         answer(exchange, conn, message, &notice);
 }
@@ -200,7 +200,7 @@
         .backend = backend->info.id,
         .born = backend->info.born,
         .limit = backend->limit,
-        .leaves = backend->says_leaving,
+        .leaving = backend->stated_leaving,
     };
 }
 
@@ -213,7 +213,7 @@
     wait->number = ++exchange->number;
     wait->asked_ms = now_of(exchange);
     wait->backend = backend_ref(backend);
-    backend->permits_asked++;
+    backend->permits_pending++;
     exchange->waits = wait;
     return wait;
 }
@@ -225,7 +225,7 @@
     while (*slot != wait)
         slot = &(*slot)->next;
     *slot = wait->next;
-    wait->backend->permits_asked--;
+    wait->backend->permits_pending--;
     backend_unref(wait->backend);
     free(wait);
 }
@@ -233,7 +233,7 @@
 static void
 refuse(const permit_exchange_t *exchange, backend_t *backend, uint32_t wait_ms)
 {
-    backend->permit_from_ms = now_of(exchange) + (wait_ms > 0 ? wait_ms : 1);
+    backend->next_permit_ms = now_of(exchange) + (wait_ms > 0 ? wait_ms : 1);
 }
 
 static permit_verdict_t
@@ -258,7 +258,7 @@
     }
     if (is_self(exchange, owner))
         return ask_self(exchange, backend);
-    if (backend->permits_asked >= ASKED_MAX)
+    if (backend->permits_pending >= ASKED_MAX)
         return PERMIT_REFUSED;
     char address[ADDR_TEXT_MAX];
     Iris__PermitRequest message = IRIS__PERMIT_REQUEST__INIT;
@@ -312,7 +312,7 @@
         refuse(exchange, wait->backend, message->wait_ms);
     drop_wait(wait);
     if (message->notice != NULL && notice_message_read(message->notice, &notice, now_of(exchange)))
-        catalog_take_notice(exchange->conf.catalog, &notice, NOTICE_OF_PERMIT);
+        catalog_merge_notice(exchange->conf.catalog, &notice, NOTICE_FROM_PERMIT);
     cb(ctx, given);
 }
 
--- a/gateway/path/attempt.c
+++ b/gateway/path/attempt.c
@@ -57,7 +57,7 @@
     }
     /* One at another backend's address speaks of itself, bytes of no answer of nobody. */
     if (attempt->verdict == VERDICT_ANSWER || attempt->verdict == VERDICT_NOT_RUN) {
-        backend_said_t said;
+        backend_statement_t said;
         attempt->dialect->notice(head, &said);
         attempt->on_said(attempt->ctx, &said, attempt->verdict == VERDICT_ANSWER);
     }
@@ -122,7 +122,7 @@
                                     attempt_is_slow(attempt));
         return ATTEMPT_ANSWERED;
     case VERDICT_MISDIRECTED:
-        backend->departed = true;
+        backend->replaced = true;
         return ATTEMPT_NOT_RUN;
     case VERDICT_NOT_RUN:
         return ATTEMPT_NOT_RUN;
--- a/gateway/path/attempt.h
+++ b/gateway/path/attempt.h
@@ -27,7 +27,7 @@
 /* The attempt has ended and its outcome is recorded at the backend. */
 typedef void (*attempt_cb_t)(void *ctx, attempt_outcome_t outcome);
 /* The head of an answer of the backend has come. `ran`: it answers a request that it ran. */
-typedef void (*attempt_said_cb_t)(void *ctx, const backend_said_t *said, bool ran);
+typedef void (*attempt_said_cb_t)(void *ctx, const backend_statement_t *said, bool ran);
 
 struct attempt {
     uv_loop_t *loop;
--- a/gateway/path/dispatch.c
+++ b/gateway/path/dispatch.c
@@ -82,7 +82,7 @@
 static permit_verdict_t
 get_permit(exchange_t *ex, backend_t *backend)
 {
-    if (!backend->limit.named)
+    if (!backend->limit.is_set)
         return PERMIT_GIVEN;
     const permit_verdict_t verdict =
         permit_ask(ex->owner->permits, backend, on_permit, ex, &ex->permit);
@@ -222,7 +222,7 @@
 }
 
 void
-dispatch_on_said(void *ctx, const backend_said_t *said, bool ran)
+dispatch_on_said(void *ctx, const backend_statement_t *said, bool ran)
 {
     const exchange_t *ex = ctx;
     const answer_notice_t notice = {.said = said, .sent_ms = ex->attempt.sent_ms, .ran = ran};
--- a/gateway/path/dispatch.h
+++ b/gateway/path/dispatch.h
@@ -24,6 +24,6 @@
 /* What the decision on another attempt depends on. */
 retry_input_t dispatch_retry_input(const exchange_t *ex);
 /* The backend of the attempt tells something of itself; `ctx` is the exchange. */
-void dispatch_on_said(void *ctx, const backend_said_t *said, bool ran);
+void dispatch_on_said(void *ctx, const backend_statement_t *said, bool ran);
 /* An attempt has ended by itself; `ctx` is the exchange. */
 void dispatch_on_attempt_end(void *ctx, attempt_outcome_t outcome);
--- a/gateway/path/end_check.c
+++ b/gateway/path/end_check.c
@@ -49,13 +49,13 @@
 {
     check_t *check = ctx;
     backend_t *backend = check->backend;
-    const uint64_t life = backend_life_key(backend);
+    const uint64_t life = backend_incarnation_key(backend);
     if (outcome == REACH_CONNECTED && !check->again) {
         check->again = true;
         look(check, AGAIN_MS);
         return;
     }
-    backend->end_check = false;
+    backend->end_check_running = false;
     if (outcome == REACH_REFUSED) {
         const size_t requests = suspects_confirm(check->suspects, life, loop_now(check->loop));
         count("outcome=\"ended\"");
@@ -74,12 +74,12 @@
 {
     if (backend_is_leaving(backend) || !backend->listed || backend->remove_at_ms != 0)
         return;
-    suspects_add_end(suspects, fingerprint, text, backend_life_key(backend), backend->info.version,
-                     loop_now(loop));
-    if (backend->end_check)
+    suspects_add_end(suspects, fingerprint, text, backend_incarnation_key(backend),
+                     backend->info.version, loop_now(loop));
+    if (backend->end_check_running)
         return;
     check_t *check = xcalloc(1, sizeof(*check));
     *check = (check_t){.loop = loop, .suspects = suspects, .backend = backend_ref(backend)};
-    backend->end_check = true;
+    backend->end_check_running = true;
     look(check, FIRST_MS);
 }
--- a/gateway/path/ending.c
+++ b/gateway/path/ending.c
@@ -14,11 +14,11 @@
     const attempt_t *attempt = &ex->attempt;
     xassert(backend != NULL);
     const lateness_input_t input = {
-        .aim_ms = ex->route->aim_ms,
+        .aim_ms = ex->route->latency_objective_ms,
         .elapsed_ms = now - ex->req->begun_ms,
         .attempt_ms = now - attempt->sent_ms,
         .lost_ms = ex->lost_ms,
-        .usual_ms = backend->work_ms,
+        .usual_ms = backend->service_time_ms,
         .slow_ms = attempt->slow_ms,
         .queued = attempt->queued,
         .full = attempt->full,
--- a/gateway/path/exchange.c
+++ b/gateway/path/exchange.c
@@ -92,7 +92,7 @@
         may_have ? config_account_of_key(config, ex->terms.key) : NULL;
     const key_input_t input = {
         .has_accounts = config->has_accounts,
-        .open_to_all = ex->route->open_to_all,
+        .open_to_all = ex->route->allows_anonymous,
         .form = ex->terms.key_form,
         .key = ex->terms.key,
         .is_known = account != NULL,
--- a/gateway/policy/choice.c
+++ b/gateway/policy/choice.c
@@ -200,7 +200,7 @@
     const admission_backend_t state = {
         .load = backend_load(backend, input->now_ms),
         .slots = backend->info.capacity,
-        .work_ms = backend->work_ms,
+        .work_ms = backend->service_time_ms,
     };
     return admission_decide(&input->request, &state);
 }
--- a/gateway/policy/pass_over.c
+++ b/gateway/policy/pass_over.c
@@ -3,11 +3,11 @@
 passed_t
 pass_over(const backend_t *backend, bool may_ask, uint64_t now_ms)
 {
-    if (backend->says_leaving)
+    if (backend->stated_leaving)
         return PASSED_LEAVES;
     if (!rest_allows(&backend->rest, now_ms))
         return PASSED_RESTS;
-    if (backend->limit.named && (!may_ask || now_ms < backend->permit_from_ms))
+    if (backend->limit.is_set && (!may_ask || now_ms < backend->next_permit_ms))
         return PASSED_AT_LIMIT;
     return PASSED_NOT;
 }
@@ -15,12 +15,12 @@
 uint64_t
 pass_over_wait_ms(const backend_t *backend, uint64_t now_ms)
 {
-    if (backend->says_leaving)
+    if (backend->stated_leaving)
         return 0;
     if (rest_is_on(&backend->rest, now_ms))
         return backend->rest.until_ms - now_ms;
-    if (backend->limit.named && now_ms < backend->permit_from_ms)
-        return backend->permit_from_ms - now_ms;
+    if (backend->limit.is_set && now_ms < backend->next_permit_ms)
+        return backend->next_permit_ms - now_ms;
     return 0;
 }
 
--- a/gateway/ports.h
+++ b/gateway/ports.h
@@ -121,7 +121,7 @@
     /* False if the answer reports no load. */
     bool (*load)(const wire_head_t *head, reported_load_t *out);
     /* What the answer says beside it. */
-    void (*notice)(const wire_head_t *head, backend_said_t *out);
+    void (*notice)(const wire_head_t *head, backend_statement_t *out);
     /* Appends the answer's fields for the caller. */
     void (*write_answer)(const wire_head_t *head, wire_text_t *out);
     /* Appends the fields of an answer of the gateway's own; `retry_ms` 0 leaves out when to come
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -112,12 +112,13 @@
     const backends_t *backends = &router->catalog.backends;
     for (size_t i = 0; i < backends->count; i++) {
         backend_t *backend = backends->items[i];
-        if (!backend->limit.named)
+        if (!backend->limit.is_set)
             continue;
         const service_t *service =
             services_find(&router->services, name_str(&backend->info.service));
         const double answer_ms = service != NULL ? service->latency_ms : 0;
-        backend->room = named_limit_room(backend->limit.per_s, backend->info.capacity, answer_ms);
+        backend->plan_slots =
+            named_limit_room(backend->limit.per_s, backend->info.capacity, answer_ms);
     }
 }
 
@@ -242,7 +243,7 @@
     input.tried = request->tried;
     input.tried_count = request->tried_count;
     input.request = (admission_request_t){
-        .aim_ms = route->aim_ms,
+        .aim_ms = route->latency_objective_ms,
         .left_ms = request->left_ms,
         .usual_ms = route_stats_median_ms(&router->routes, route->key),
         .lost_ms = request->lost_ms,
@@ -263,7 +264,8 @@
         choice_input(router, route, service, known != NULL ? &known->plan : &no_plan, object);
     input.has_object = true;
     input.may_ask = true;
-    input.request = (admission_request_t){.aim_ms = route->aim_ms, .left_ms = UINT32_MAX};
+    input.request =
+        (admission_request_t){.aim_ms = route->latency_objective_ms, .left_ms = UINT32_MAX};
     return input;
 }
 
@@ -307,25 +309,25 @@
 void
 router_take_notice(router_t *router, backend_t *backend, const answer_notice_t *notice)
 {
-    const backend_said_t *said = notice->said;
+    const backend_statement_t *said = notice->said;
     take_rest(router, backend, notice);
     if (said->unusable > 0)
         catalog_count_unusable_notice(backend, said->unusable);
     /* One that turns a request away may leave out what it says in answers of its runs. */
-    const bool tells_limit = said->names_limit || notice->ran;
+    const bool tells_limit = said->has_limit || notice->ran;
     const notice_t news = {
         .backend = backend->info.id,
         .born = backend->info.born,
         .limit =
             {
-                .named = said->names_limit,
+                .is_set = said->has_limit,
                 .per_s = said->limit_per_s,
-                .said_ms = tells_limit ? notice->sent_ms : 0,
+                .stated_ms = tells_limit ? notice->sent_ms : 0,
             },
-        .leaves = said->leaves,
-        .leaves_ms = loop_now(router->loop),
+        .leaving = said->leaving,
+        .leaving_since_ms = loop_now(router->loop),
     };
-    catalog_take_notice(&router->catalog, &news, NOTICE_OF_ANSWER);
+    catalog_merge_notice(&router->catalog, &news, NOTICE_FROM_ANSWER);
 }
 
 void
@@ -355,7 +357,7 @@
 router_slow_ms(router_t *router, const config_route_t *route)
 {
     const double median_ms = route_stats_median_ms(&router->routes, route->key);
-    return slow_after_ms(route->aim_ms, median_ms);
+    return slow_after_ms(route->latency_objective_ms, median_ms);
 }
 
 retry_account_t
--- a/gateway/router.h
+++ b/gateway/router.h
@@ -107,7 +107,7 @@
 void router_count_refused(router_t *router, service_t *service);
 /* An answer of a backend says something of itself. */
 typedef struct {
-    const backend_said_t *said;
+    const backend_statement_t *said;
     uint64_t sent_ms; /* loop time at which its request was sent */
     bool ran;         /* the backend ran that request */
 } answer_notice_t;
--- a/gateway/state/backend.c
+++ b/gateway/state/backend.c
@@ -7,14 +7,14 @@
 #include "wire/client.h"
 
 enum {
-    KEY_SEED = 41, /* any number; the same on every instance */
+    ID_HASH_SEED = 41, /* any number; the same on every instance */
     /* Time in which the load reported by an answer loses half of its weight. Chosen, not measured.
      */
     LOAD_HALF_LIFE_MS = 400,
 };
 
 /* Weight of a new answer in the moving average of working times. Chosen, not measured. */
-#define WORK_GAIN 0.1
+#define SERVICE_TIME_GAIN 0.1
 
 backend_t *
 backend_new(const backend_info_t *info, size_t region, wire_pool_t *pool)
@@ -22,7 +22,7 @@
     backend_t *backend = xcalloc(1, sizeof(*backend));
     backend->refs = 1;
     backend->info = *info;
-    backend->key = str_hash(name_str(&info->id), KEY_SEED);
+    backend->key = str_hash(name_str(&info->id), ID_HASH_SEED);
     backend->region = region;
     backend->pool = pool;
     return backend;
@@ -46,25 +46,26 @@
 }
 
 uint64_t
-backend_life(str_t id, uint64_t born)
+backend_incarnation_hash(str_t id, uint64_t born)
 {
-    return str_hash((str_t){(const char *)&born, sizeof(born)}, str_hash(id, KEY_SEED));
+    return str_hash((str_t){(const char *)&born, sizeof(born)}, str_hash(id, ID_HASH_SEED));
 }
 
 uint64_t
-backend_life_key(const backend_t *backend)
+backend_incarnation_key(const backend_t *backend)
 {
-    return backend_life(name_str(&backend->info.id), backend->info.born);
+    return backend_incarnation_hash(name_str(&backend->info.id), backend->info.born);
 }
 
 double
-backend_room(const backend_t *backend)
+backend_plan_slots(const backend_t *backend)
 {
-    return backend->limit.named && backend->room > 0 ? backend->room : backend->info.capacity;
+    return backend->limit.is_set && backend->plan_slots > 0 ? backend->plan_slots
+                                                            : backend->info.capacity;
 }
 
 int
-backend_life_order(uint64_t left, uint64_t right)
+backend_incarnation_order(uint64_t left, uint64_t right)
 {
     if (left == 0 || right == 0)
         return 0;
@@ -102,7 +103,7 @@
 bool
 backend_is_leaving(const backend_t *backend)
 {
-    return backend->info.leaving || backend->says_leaving;
+    return backend->info.leaving || backend->stated_leaving;
 }
 
 bool
@@ -110,7 +111,7 @@
 {
     /* What it told itself binds whatever its entry says: the store may be away, slow or behind. */
     if (!backend->listed || backend_is_leaving(backend) || backend->hall_closed ||
-        backend->departed)
+        backend->replaced)
         return false;
     return breaker_allows(&backend->breaker, now_ms);
 }
@@ -136,10 +137,10 @@
 backend_answered(backend_t *backend, double latency_ms, bool queued)
 {
     breaker_record_answer(&backend->breaker);
-    if (queued && backend->work_ms > 0)
+    if (queued && backend->service_time_ms > 0)
         return;
-    const double work_ms = latency_measured_ms(latency_ms);
-    if (backend->work_ms == 0)
-        backend->work_ms = work_ms;
-    backend->work_ms += WORK_GAIN * (work_ms - backend->work_ms);
+    const double service_time_ms = latency_measured_ms(latency_ms);
+    if (backend->service_time_ms == 0)
+        backend->service_time_ms = service_time_ms;
+    backend->service_time_ms += SERVICE_TIME_GAIN * (service_time_ms - backend->service_time_ms);
 }
--- a/gateway/state/backend.h
+++ b/gateway/state/backend.h
@@ -48,13 +48,13 @@
     uint64_t revision;           /* of the entry that `info` was read from */
     bool listed;                 /* false once it was taken out of the list */
     bool hall_closed;            /* its data hall must get no requests */
-    bool departed;               /* another backend answers at its address */
-    bool says_leaving;           /* it told so in an answer: that stays, whatever its entry says */
+    bool replaced;               /* another backend answers at its address */
+    bool stated_leaving;         /* it told so in an answer: that stays, whatever its entry says */
     rest_t rest;                 /* that it asked this instance for */
     backend_limit_t limit;       /* that it names in its answers */
-    double room;                 /* slots for which it counts in plans; 0: for all */
-    uint64_t permit_from_ms;     /* the next permit for it may be asked for */
-    unsigned permits_asked;      /* and not answered yet */
+    double plan_slots;           /* slots for which it counts in plans; 0: for all */
+    uint64_t next_permit_ms;     /* the next permit for it may be asked for */
+    unsigned permits_pending;    /* and not answered yet */
     unsigned permits_unanswered; /* requests for one since the last answer */
     bool logged_unusable;        /* the log tells of a notice that could not be used */
     uint64_t remove_at_ms; /* when its absence from the store takes effect, 0 if it is there */
@@ -66,9 +66,9 @@
     uint64_t load_reported_ms;
     breaker_t breaker;
     health_t health;
-    bool logged_avoided; /* the log says that it is avoided */
-    bool end_check;      /* whether it has ended is being looked at (path/end_check.h) */
-    double work_ms;      /* moving average of answers that did not queue; 0 before the first */
+    bool logged_avoided;    /* the log says that it is avoided */
+    bool end_check_running; /* whether it has ended is being looked at (path/end_check.h) */
+    double service_time_ms; /* moving average of answers that did not queue; 0 before the first */
 } backend_t;
 
 /* The caller gets a reference. `pool` becomes the backend's; it may be NULL. */
@@ -78,14 +78,14 @@
 void backend_unref(backend_t *backend);
 
 /* Hash of the backend's life: of its id, and of when it began if it says so. */
-uint64_t backend_life_key(const backend_t *backend);
+uint64_t backend_incarnation_key(const backend_t *backend);
 /* Below, at or above 0 as the life that began at `left` is earlier than, the same as or later than
  * the one of `right`. One that does not say counts as the same. */
-int backend_life_order(uint64_t left, uint64_t right);
+int backend_incarnation_order(uint64_t left, uint64_t right);
 /* The same for a backend server of that id, known here or not. */
-uint64_t backend_life(str_t id, uint64_t born);
+uint64_t backend_incarnation_hash(str_t id, uint64_t born);
 /* The slots for which it counts in plans: fewer than it has while it names a limit. */
-double backend_room(const backend_t *backend);
+double backend_plan_slots(const backend_t *backend);
 /* Estimated requests there, running and queued, from all instances. */
 double backend_load(const backend_t *backend, uint64_t now_ms);
 void backend_report_load(backend_t *backend, const reported_load_t *load, uint64_t now_ms);
--- a/gateway/state/backends.c
+++ b/gateway/state/backends.c
@@ -10,28 +10,29 @@
 
 enum {
     ITEMS_START = 16,
-    POOL_MAX = 32, /* connections until the service's own bound is known. Chosen, not measured */
+    DEFAULT_POOL_MAX =
+        32, /* connections until the service's own bound is known. Chosen, not measured */
 };
 
 /* What is looked for in the list. */
 typedef struct {
     const backends_t *backends;
     str_t id;
-} wanted_t;
+} search_t;
 
 static bool
 is_below(const void *ctx, size_t index)
 {
-    const wanted_t *wanted = ctx;
-    return str_order(name_str(&wanted->backends->items[index]->info.id), wanted->id) < 0;
+    const search_t *search = ctx;
+    return str_order(name_str(&search->backends->items[index]->info.id), search->id) < 0;
 }
 
 /* Index of the first entry whose id is not below `id`. */
 static size_t
 lower_bound(const backends_t *backends, str_t id)
 {
-    const wanted_t wanted = {backends, id};
-    return search_lower_bound(backends->count, is_below, &wanted);
+    const search_t search = {backends, id};
+    return search_lower_bound(backends->count, is_below, &search);
 }
 
 backend_t *
@@ -64,7 +65,8 @@
     backend_t *backend = backends_find(backends, name_str(&info->id));
     if (backend == NULL) {
         const size_t region = topology_region_of(topology, name_str(&info->hall));
-        wire_pool_t *pool = loop != NULL ? wire_pool_new(loop, &info->addr, POOL_MAX) : NULL;
+        wire_pool_t *pool =
+            loop != NULL ? wire_pool_new(loop, &info->addr, DEFAULT_POOL_MAX) : NULL;
         backend = backend_new(info, region, pool);
         insert(backends, backend, name_str(&info->id));
     }
--- a/gateway/state/catalog.c
+++ b/gateway/state/catalog.c
@@ -38,7 +38,7 @@
 /* ---- configuration ---- */
 
 void
-catalog_bound_connections(const catalog_t *catalog, backend_t *backend)
+catalog_limit_connections(const catalog_t *catalog, backend_t *backend)
 {
     const config_service_t *service = catalog_service_of(catalog, backend);
     if (service == NULL)
@@ -52,7 +52,7 @@
 bound_all_connections(catalog_t *catalog)
 {
     for (size_t i = 0; i < catalog->backends.count; i++)
-        catalog_bound_connections(catalog, catalog->backends.items[i]);
+        catalog_limit_connections(catalog, catalog->backends.items[i]);
 }
 
 void
@@ -67,8 +67,8 @@
 bool
 catalog_is_behind(const catalog_t *catalog)
 {
-    const bool in_part = catalog->config != NULL && catalog->config->routes_left_out > 0;
-    return in_part || catalog->refused.revision > 0 || catalog->newer_at > 0;
+    const bool in_part = catalog->config != NULL && catalog->config->routes_skipped > 0;
+    return in_part || catalog->refused.revision > 0 || catalog->newer_revision > 0;
 }
 
 /* What was in force before stays. */
@@ -119,7 +119,7 @@
 
 /* Its data hall gets requests again; it may have lost its memory meanwhile. */
 static void
-reopen(catalog_t *catalog, backend_t *backend, uint64_t now_ms)
+reopen_hall(catalog_t *catalog, backend_t *backend, uint64_t now_ms)
 {
     const config_service_t *service = catalog_service_of(catalog, backend);
     const uint64_t cold_ms = service != NULL ? service->cold_ms : 0;
@@ -131,20 +131,20 @@
 catalog_apply_closures(catalog_t *catalog, const view_t *view)
 {
     const uint64_t now_ms = loop_now(catalog->loop);
-    size_t lines = 0;
+    size_t changes = 0;
     for (size_t i = 0; i < catalog->backends.count; i++) {
         backend_t *backend = catalog->backends.items[i];
         const bool closed = view_find(view, name_str(&backend->info.hall)) != NULL;
         if (backend->hall_closed == closed)
             continue;
         if (!closed)
-            reopen(catalog, backend, now_ms);
-        if (lines++ < CATALOG_LINES_MAX)
+            reopen_hall(catalog, backend, now_ms);
+        if (changes++ < CATALOG_LOG_LINES_MAX)
             LOG_INFO("data hall of a backend %s: id=%s hall=%s at=%llu", closed ? "closed" : "open",
                      backend->info.id.ptr, backend->info.hall.ptr, (unsigned long long)view->at);
         backend->hall_closed = closed;
     }
-    catalog_log_unsaid("data halls of backends", lines);
+    catalog_log_suppressed("data halls of backends", changes);
 }
 
 void
@@ -155,36 +155,36 @@
         const backend_t *backend = catalog->backends.items[i];
         if (backend->region < catalog->topology->region_count &&
             name_eq(&backend->info.service, service) && backend_is_usable(backend, now_ms))
-            slots[backend->region] += backend_room(backend);
+            slots[backend->region] += backend_plan_slots(backend);
     }
 }
 
 void
-catalog_log_unsaid(const char *what, size_t lines)
+catalog_log_suppressed(const char *what, size_t changes)
 {
-    if (lines > CATALOG_LINES_MAX)
-        LOG_INFO("more changes at once than lines: of=\"%s\" changes=%zu lines=%d", what, lines,
-                 CATALOG_LINES_MAX);
+    if (changes > CATALOG_LOG_LINES_MAX)
+        LOG_INFO("more changes at once than lines: of=\"%s\" changes=%zu lines=%d", what, changes,
+                 CATALOG_LOG_LINES_MAX);
 }
 
 /* Logs which backends are avoided from now on, and which are no longer. */
 static void
 log_avoided(catalog_t *catalog, uint64_t now_ms)
 {
-    size_t lines = 0;
+    size_t changes = 0;
     for (size_t i = 0; i < catalog->backends.count; i++) {
         backend_t *backend = catalog->backends.items[i];
         const bool avoided = health_is_avoided(&backend->health, now_ms);
         if (avoided == backend->logged_avoided)
             continue;
         backend->logged_avoided = avoided;
-        if (lines++ < CATALOG_LINES_MAX)
+        if (changes++ < CATALOG_LOG_LINES_MAX)
             LOG_INFO("backend %s: id=%s service=%s failure_rate=%.2f outcomes=%.1f",
                      avoided ? "avoided" : "no longer avoided", backend->info.id.ptr,
                      backend->info.service.ptr, backend->health.failure_rate,
                      backend->health.weight);
     }
-    catalog_log_unsaid("avoided backends", lines);
+    catalog_log_suppressed("avoided backends", changes);
 }
 
 void
--- a/gateway/state/catalog.h
+++ b/gateway/state/catalog.h
@@ -18,7 +18,7 @@
     /* Log lines about single backends that one change of a view or one tick makes. A deployment
      * changes hundreds of entries at once; 295 instances that each wrote a line for each of them
      * lost 1,528 times lines of all kinds within 22 s (counted in one region's logs). */
-    CATALOG_LINES_MAX = 32,
+    CATALOG_LOG_LINES_MAX = 32,
 };
 
 /* A configuration that could not be used. */
@@ -33,16 +33,16 @@
     const decoder_port_t *decoder;
     config_t *config; /* NULL until one is known */
     refused_config_t refused;
-    uint64_t newer_at; /* revision of a newer configuration that a peer holds, or that is here and
-                          not decoded yet; 0: none known */
+    uint64_t newer_revision; /* revision of a newer configuration that a peer holds, or that is here
+                          and not decoded yet; 0: none known */
     backends_t backends;
     bool backends_known;          /* a whole list was taken in once */
     departures_t departures;      /* what was told ahead of the list's change */
     notices_t notices;            /* what backends told of themselves, in answers */
     void (*on_notice)(void *ctx); /* there is one that others are to know of */
     void *ctx;
-    departures_t fresh; /* what the last change of the list itself told */
-    uint64_t *unusable; /* revisions of entries that name no backend, ascending */
+    departures_t new_departures; /* what the last change of the list itself told */
+    uint64_t *unusable;          /* revisions of entries that name no backend, ascending */
     size_t unusable_count;
     unsigned instances; /* of the whole fleet; they share a backend's connections */
 } catalog_t;
@@ -64,13 +64,13 @@
                               removal_store_t store);
 /* How this instance learned what a backend told of itself. */
 typedef enum {
-    NOTICE_OF_ANSWER, /* from the backend: others are to know */
-    NOTICE_OF_PEER,
-    NOTICE_OF_PERMIT, /* a peer asks for a permit, or answers */
+    NOTICE_FROM_ANSWER, /* from the backend: others are to know */
+    NOTICE_FROM_PEER,
+    NOTICE_FROM_PERMIT, /* a peer asks for a permit, or answers */
 } notice_source_t;
 
 /* Takes over what a backend told of itself. */
-void catalog_take_notice(catalog_t *catalog, const notice_t *news, notice_source_t source);
+void catalog_merge_notice(catalog_t *catalog, const notice_t *news, notice_source_t source);
 /* The backend told something in a form that cannot be used, so many times in one answer. */
 void catalog_count_unusable_notice(backend_t *backend, unsigned count);
 /* Gives a backend what is known of it from notices. */
@@ -84,11 +84,11 @@
 /* What the configuration says of a backend's service; NULL if nothing. */
 const config_service_t *catalog_service_of(const catalog_t *catalog, const backend_t *backend);
 /* Sets the backend's part of its service's connections. */
-void catalog_bound_connections(const catalog_t *catalog, backend_t *backend);
+void catalog_limit_connections(const catalog_t *catalog, backend_t *backend);
 /* The backend is cold: its requests are paced from now on. */
 void catalog_pace_cold(const catalog_t *catalog, backend_t *backend, uint64_t now_ms);
 /* Logs how many changes were not logged each, if there were too many. */
-void catalog_log_unsaid(const char *what, size_t lines);
+void catalog_log_suppressed(const char *what, size_t changes);
 /* True once requests can be decided. */
 bool catalog_is_complete(const catalog_t *catalog);
 /* Adds the slots of a service's usable backends to `slots`, which has an entry for each region of
--- a/gateway/state/catalog_backends.c
+++ b/gateway/state/catalog_backends.c
@@ -22,46 +22,46 @@
 typedef struct {
     catalog_t *catalog;
     uint64_t now_ms;
-    uint64_t at; /* the store's revision that the list leads up to; 0 for departures */
+    uint64_t list_revision; /* the store's revision that the list leads up to; 0 for departures */
     removal_input_t removal;
     size_t lines; /* that could have been logged */
 } change_t;
 
 static bool
-has_line(change_t *change)
+may_log(change_t *change)
 {
-    return change->lines++ < CATALOG_LINES_MAX;
+    return change->lines++ < CATALOG_LOG_LINES_MAX;
 }
 
 static void
-note_departure(change_t *change, const backend_t *backend, bool gone)
+record_departure(change_t *change, const backend_t *backend, bool gone)
 {
-    if (change->at == 0)
+    if (change->list_revision == 0)
         return; /* a peer has told it to all */
-    const departure_t departure = {backend->info.id, change->at, gone, change->now_ms};
-    departures_add(&change->catalog->fresh, &departure);
+    const departure_t departure = {backend->info.id, change->list_revision, gone, change->now_ms};
+    departures_add(&change->catalog->new_departures, &departure);
 }
 
 static void
-log_entry(change_t *change, const backend_info_t *info, uint64_t revision, bool is_new)
+log_backend(change_t *change, const backend_info_t *info, uint64_t revision, bool is_new)
 {
-    if (is_new && has_line(change))
+    if (is_new && may_log(change))
         LOG_INFO("backend known: id=%s service=%s hall=%s capacity=%u cold_ms=%u leaving=%d",
                  info->id.ptr, info->service.ptr, info->hall.ptr, info->capacity, info->cold_ms,
                  info->leaving);
-    else if (!is_new && has_line(change))
+    else if (!is_new && may_log(change))
         LOG_INFO("backend leaving: id=%s revision=%llu", info->id.ptr,
                  (unsigned long long)revision);
 }
 
 static void
-remove_after(change_t *change, backend_t *backend, removal_t removal)
+remove_with_grace(change_t *change, backend_t *backend, removal_t removal)
 {
     if (backend->remove_at_ms != 0)
         return;
     backend->remove_at_ms = change->now_ms + removal.grace_ms;
-    note_departure(change, backend, true);
-    if (has_line(change))
+    record_departure(change, backend, true);
+    if (may_log(change))
         LOG_INFO("backend not listed any more: id=%s grace_ms=%llu reason=%s since_return_ms=%lld "
                  "since_failure_ms=%lld",
                  backend->info.id.ptr, (unsigned long long)removal.grace_ms,
@@ -74,7 +74,7 @@
 static void
 schedule_removal(change_t *change, backend_t *backend)
 {
-    remove_after(change, backend, removal_decide(&change->removal));
+    remove_with_grace(change, backend, removal_decide(&change->removal));
 }
 
 /* ---- entries ---- */
@@ -97,10 +97,10 @@
 
 /* The entry names no backend server; one that had this id gets nothing new. */
 static void
-drop_entry(change_t *change, const view_item_t *item, const err_t *err)
+reject_entry(change_t *change, const view_item_t *item, const err_t *err)
 {
     catalog_t *catalog = change->catalog;
-    if (has_line(change))
+    if (may_log(change))
         LOG_WARN("backend entry not usable: id=%s revision=%llu err=%s detail=%s", item->name,
                  (unsigned long long)item->revision, err_name(err->code), err->detail);
     catalog->unusable =
@@ -109,14 +109,14 @@
     qsort(catalog->unusable, catalog->unusable_count, sizeof(*catalog->unusable), by_revision);
     backend_t *backend = backends_find(&catalog->backends, str_from(item->name));
     if (backend != NULL)
-        remove_after(change, backend, (removal_t){.reason = REMOVAL_UNUSABLE});
+        remove_with_grace(change, backend, (removal_t){.reason = REMOVAL_UNUSABLE});
 }
 
 /* Takes the backend out whose life has ended; attempts under way keep theirs. */
 static void
-end_life(change_t *change, const backend_t *backend, const backend_info_t *info)
+remove_previous_incarnation(change_t *change, const backend_t *backend, const backend_info_t *info)
 {
-    if (has_line(change))
+    if (may_log(change))
         LOG_INFO("backend restarted: id=%s born=%llu before=%llu", info->id.ptr,
                  (unsigned long long)info->born, (unsigned long long)backend->info.born);
     backends_remove(&change->catalog->backends, name_str(&info->id));
@@ -138,13 +138,13 @@
     if (!was_cold)
         catalog_pace_cold(catalog, backend, change->now_ms);
     if (is_new) {
-        catalog_bound_connections(catalog, backend);
+        catalog_limit_connections(catalog, backend);
         catalog_apply_notice(catalog, backend);
     }
     if (info->leaving && !was_leaving)
-        note_departure(change, backend, false);
+        record_departure(change, backend, false);
     if (is_new || (info->leaving && !was_leaving))
-        log_entry(change, info, revision, is_new);
+        log_backend(change, info, revision, is_new);
 }
 
 /* Applies a new or changed entry. */
@@ -156,16 +156,16 @@
     backend_info_t info;
     err_t err = {0};
     if (!catalog->decoder->backend(id, (str_t){item->body, item->body_len}, &info, &err)) {
-        drop_entry(change, item, &err);
+        reject_entry(change, item, &err);
         return;
     }
     backend_t *known = backends_find(&catalog->backends, id);
-    if (known != NULL && backend_life_order(info.born, known->info.born) < 0) {
+    if (known != NULL && backend_incarnation_order(info.born, known->info.born) < 0) {
         known->revision = item->revision; /* news of an earlier life changes nothing */
         return;
     }
-    if (known != NULL && backend_life_order(info.born, known->info.born) > 0)
-        end_life(change, known, &info);
+    if (known != NULL && backend_incarnation_order(info.born, known->info.born) > 0)
+        remove_previous_incarnation(change, known, &info);
     put_entry(change, &info, item->revision);
 }
 
@@ -181,44 +181,44 @@
 
 /* Forgets the unusable entries that are not in the view any more. */
 static void
-keep_unusable(catalog_t *catalog, const view_t *view)
+prune_unusable(catalog_t *catalog, const view_t *view)
 {
     if (catalog->unusable_count == 0)
         return;
-    size_t kept = 0;
+    size_t count = 0;
     for (size_t i = 0; i < view->count; i++) {
         if (is_unusable(catalog, view->items[i].revision))
-            kept++;
+            count++;
     }
-    uint64_t *revisions = xcalloc(kept + 1, sizeof(*revisions));
-    kept = 0;
+    uint64_t *revisions = xcalloc(count + 1, sizeof(*revisions));
+    count = 0;
     for (size_t i = 0; i < view->count; i++) {
         if (is_unusable(catalog, view->items[i].revision))
-            revisions[kept++] = view->items[i].revision;
+            revisions[count++] = view->items[i].revision;
     }
-    qsort(revisions, kept, sizeof(*revisions), by_revision);
+    qsort(revisions, count, sizeof(*revisions), by_revision);
     free(catalog->unusable);
     catalog->unusable = revisions;
-    catalog->unusable_count = kept;
+    catalog->unusable_count = count;
 }
 
 /* Walks the view and the backends side by side, both sorted by id: schedules the removal of
  * backends that are gone, and fills `changed` with the indexes in the view of entries that are new
  * or changed; returns their number. */
 static size_t
-compare_backends(change_t *change, const view_t *view, size_t *changed)
+diff_backends(change_t *change, const view_t *view, size_t *changed)
 {
     const catalog_t *catalog = change->catalog;
     const backends_t *backends = &catalog->backends;
     size_t count = 0;
-    size_t at = 0;
+    size_t pos = 0;
     for (size_t i = 0; i < view->count; i++) {
         const view_item_t *item = &view->items[i];
         const str_t id = str_from(item->name);
-        while (at < backends->count && str_order(name_str(&backends->items[at]->info.id), id) < 0)
-            schedule_removal(change, backends->items[at++]);
-        const bool known = at < backends->count && name_eq(&backends->items[at]->info.id, id);
-        backend_t *backend = known ? backends->items[at++] : NULL;
+        while (pos < backends->count && str_order(name_str(&backends->items[pos]->info.id), id) < 0)
+            schedule_removal(change, backends->items[pos++]);
+        const bool known = pos < backends->count && name_eq(&backends->items[pos]->info.id, id);
+        backend_t *backend = known ? backends->items[pos++] : NULL;
         if (is_unusable(catalog, item->revision))
             continue;
         if (is_gone(catalog, item)) {
@@ -230,8 +230,8 @@
             changed[count++] = i;
         }
     }
-    while (at < backends->count)
-        schedule_removal(change, backends->items[at++]);
+    while (pos < backends->count)
+        schedule_removal(change, backends->items[pos++]);
     return count;
 }
 
@@ -241,19 +241,19 @@
     change_t change = {
         .catalog = catalog,
         .now_ms = loop_now(catalog->loop),
-        .at = view->at,
+        .list_revision = view->at,
         .removal = {.store = store, .listed = view->count, .known = catalog->backends.count},
     };
-    catalog->fresh.count = 0;
-    keep_unusable(catalog, view);
+    catalog->new_departures.count = 0;
+    prune_unusable(catalog, view);
     size_t *changed = xcalloc(view->count + 1, sizeof(*changed));
-    const size_t count = compare_backends(&change, view, changed);
+    const size_t count = diff_backends(&change, view, changed);
     for (size_t i = 0; i < count; i++)
         apply_entry(&change, &view->items[changed[i]]);
     free(changed);
     backends_remove_due(&catalog->backends, change.now_ms);
     catalog->backends_known = true;
-    catalog_log_unsaid("list of backends", change.lines);
+    catalog_log_suppressed("list of backends", change.lines);
 }
 
 /* ---- departures ---- */
@@ -271,7 +271,7 @@
         schedule_removal(change, backend);
     } else if (!backend->info.leaving) {
         backend->info.leaving = true;
-        log_entry(change, &backend->info, departure->revision, false);
+        log_backend(change, &backend->info, departure->revision, false);
     }
 }
 
@@ -288,5 +288,5 @@
     for (size_t i = 0; i < count; i++)
         apply_departure(&change, &items[i]);
     backends_remove_due(&catalog->backends, change.now_ms);
-    catalog_log_unsaid("departures", change.lines);
+    catalog_log_suppressed("departures", change.lines);
 }
--- a/gateway/state/catalog_notices.c
+++ b/gateway/state/catalog_notices.c
@@ -13,9 +13,9 @@
 source_name(notice_source_t source)
 {
     static const char *const names[] = {
-        [NOTICE_OF_ANSWER] = "answer",
-        [NOTICE_OF_PEER] = "peer",
-        [NOTICE_OF_PERMIT] = "permit",
+        [NOTICE_FROM_ANSWER] = "answer",
+        [NOTICE_FROM_PEER] = "peer",
+        [NOTICE_FROM_PERMIT] = "permit",
     };
     return names[source];
 }
@@ -23,8 +23,8 @@
 static void
 log_limit(const notice_t *news, const char *source, uint64_t now_ms)
 {
-    const unsigned long long age_ms = (unsigned long long)(now_ms - news->limit.said_ms);
-    if (news->limit.named)
+    const unsigned long long age_ms = (unsigned long long)(now_ms - news->limit.stated_ms);
+    if (news->limit.is_set)
         LOG_INFO("backend names a limit: id=%s per_s=%g age_ms=%llu source=%s", news->backend.ptr,
                  news->limit.per_s, age_ms, source);
     else
@@ -33,10 +33,10 @@
 }
 
 static void
-apply(backend_t *backend, const notice_t *notice)
+apply_to_backend(backend_t *backend, const notice_t *notice)
 {
     backend->limit = notice->limit;
-    backend->says_leaving = notice->leaves;
+    backend->stated_leaving = notice->leaving;
 }
 
 void
@@ -45,7 +45,7 @@
     const notice_t *notice =
         notices_find(&catalog->notices, name_str(&backend->info.id), backend->info.born);
     if (notice != NULL)
-        apply(backend, notice);
+        apply_to_backend(backend, notice);
 }
 
 static void
@@ -53,24 +53,24 @@
 {
     if (change.limit)
         log_limit(news, source_name(source), now_ms);
-    if (change.leaves)
+    if (change.leaving)
         LOG_INFO("backend says that it leaves: id=%s age_ms=%llu source=%s", news->backend.ptr,
-                 (unsigned long long)(now_ms - news->leaves_ms), source_name(source));
+                 (unsigned long long)(now_ms - news->leaving_since_ms), source_name(source));
 }
 
 void
-catalog_take_notice(catalog_t *catalog, const notice_t *news, notice_source_t source)
+catalog_merge_notice(catalog_t *catalog, const notice_t *news, notice_source_t source)
 {
     const uint64_t now_ms = loop_now(catalog->loop);
-    const notice_change_t change = notices_take(&catalog->notices, news);
+    const notice_change_t change = notices_merge(&catalog->notices, news);
     backend_t *backend = backends_find(&catalog->backends, name_str(&news->backend));
     if (backend != NULL)
         catalog_apply_notice(catalog, backend);
     log_change(news, change, source, now_ms);
-    if (!change.limit && !change.leaves)
+    if (!change.limit && !change.leaving)
         return;
-    if (source != NOTICE_OF_ANSWER)
-        notices_mark_told(&catalog->notices, name_str(&news->backend));
+    if (source != NOTICE_FROM_ANSWER)
+        notices_mark_published(&catalog->notices, name_str(&news->backend));
     else if (catalog->on_notice != NULL)
         catalog->on_notice(catalog->ctx);
 }
--- a/gateway/state/config.c
+++ b/gateway/state/config.c
@@ -20,9 +20,9 @@
 }
 
 size_t
-config_left_out(const config_t *config)
+config_skipped_count(const config_t *config)
 {
-    return config->routes_left_out + config->services_left_out;
+    return config->routes_skipped + config->services_skipped;
 }
 
 config_t *
@@ -43,7 +43,7 @@
 }
 
 void
-config_route_unserve(config_route_t *route)
+config_route_remove_targets(config_route_t *route)
 {
     free(route->targets);
     route->targets = NULL;
@@ -76,7 +76,7 @@
 }
 
 static int
-by_key(const void *left, const void *right)
+compare_keys(const void *left, const void *right)
 {
     const uint64_t a = ((const config_route_t *)left)->key;
     const uint64_t b = ((const config_route_t *)right)->key;
@@ -84,7 +84,7 @@
 }
 
 static int
-by_service_name(const void *left, const void *right)
+compare_service_names(const void *left, const void *right)
 {
     const config_service_t *a = left;
     const config_service_t *b = right;
@@ -99,17 +99,18 @@
         route->key =
             str_hash(str_from(route->prefix), PREFIX_SEED ^ host_hash(str_from(route->host)));
     }
-    qsort(config->routes, config->route_count, sizeof(*config->routes), by_key);
-    qsort(config->services, config->service_count, sizeof(*config->services), by_service_name);
+    qsort(config->routes, config->route_count, sizeof(*config->routes), compare_keys);
+    qsort(config->services, config->service_count, sizeof(*config->services),
+          compare_service_names);
     return config_seal_accounts(config, err);
 }
 
 static const config_route_t *
 find_route(const config_t *config, uint64_t key, str_t prefix)
 {
-    const config_route_t wanted = {.key = key};
-    const config_route_t *route =
-        bsearch(&wanted, config->routes, config->route_count, sizeof(*config->routes), by_key);
+    const config_route_t needle = {.key = key};
+    const config_route_t *route = bsearch(&needle, config->routes, config->route_count,
+                                          sizeof(*config->routes), compare_keys);
     return route != NULL && str_eq(str_from(route->prefix), prefix) ? route : NULL;
 }
 
--- a/gateway/state/config.h
+++ b/gateway/state/config.h
@@ -33,16 +33,16 @@
 typedef struct {
     name_t name;
     char *host;
-    char *prefix;          /* begins and ends with a slash */
-    uint64_t key;          /* hash over host and prefix */
-    bool repeatable;       /* its requests may run more than once */
-    bool large;            /* answers are large: keep them near the caller */
-    bool sticky;           /* backends keep the objects of its requests in memory */
-    bool open_to_all;      /* its requests need no key of a client account */
-    int priority;          /* 0 is the most urgent */
-    uint32_t timeout_ms;   /* limit on a request's time, 0 for none */
-    uint32_t aim_ms;       /* latency objective, 0 for none */
-    uint32_t max_attempts; /* sends of a request, the first one included */
+    char *prefix;                  /* begins and ends with a slash */
+    uint64_t key;                  /* hash over host and prefix */
+    bool repeatable;               /* its requests may run more than once */
+    bool large;                    /* answers are large: keep them near the caller */
+    bool sticky;                   /* backends keep the objects of its requests in memory */
+    bool allows_anonymous;         /* its requests need no key of a client account */
+    int priority;                  /* 0 is the most urgent */
+    uint32_t timeout_ms;           /* limit on a request's time, 0 for none */
+    uint32_t latency_objective_ms; /* latency objective, 0 for none */
+    uint32_t max_attempts;         /* sends of a request, the first one included */
     size_t target_count;
     config_target_t *targets; /* none: the route could not be read, nothing serves its requests */
     config_regions_t regions;
@@ -94,9 +94,9 @@
     size_t account_count;
     config_key_t *keys; /* sorted by hash once sealed */
     size_t key_count;
-    uint64_t key_seed;      /* random, so that no caller can tell which keys meet */
-    size_t routes_left_out; /* that could not be read */
-    size_t services_left_out;
+    uint64_t key_seed;     /* random, so that no caller can tell which keys meet */
+    size_t routes_skipped; /* that could not be read */
+    size_t services_skipped;
 } config_t;
 
 /* Room for that many routes and services, to be filled in; the caller gets a reference. */
@@ -104,7 +104,7 @@
 /* Frees what the route holds and empties it. */
 void config_route_clear(config_route_t *route);
 /* Takes the route's targets away: nothing serves its requests, and no other route takes them. */
-void config_route_unserve(config_route_t *route);
+void config_route_remove_targets(config_route_t *route);
 /* The configuration has client accounts: room for that many, and for their keys. */
 void config_add_accounts(config_t *config, size_t account_count, size_t key_count);
 /* Names the account, and gives it a key; both copy. */
@@ -114,7 +114,7 @@
  * have one key, or one name: whose requests they are could not be told. */
 bool config_seal(config_t *config, err_t *err);
 /* Routes and services that could not be read. */
-size_t config_left_out(const config_t *config);
+size_t config_skipped_count(const config_t *config);
 config_t *config_ref(config_t *config);
 void config_unref(config_t *config);
 
--- a/gateway/state/config_accounts.c
+++ b/gateway/state/config_accounts.c
@@ -49,7 +49,7 @@
 }
 
 static int
-by_id(const void *left, const void *right)
+compare_ids(const void *left, const void *right)
 {
     const uint64_t a = ((const config_account_t *)left)->id;
     const uint64_t b = ((const config_account_t *)right)->id;
@@ -57,7 +57,7 @@
 }
 
 static int
-by_hash(const void *left, const void *right)
+compare_hashes(const void *left, const void *right)
 {
     const uint64_t a = ((const config_key_t *)left)->hash;
     const uint64_t b = ((const config_key_t *)right)->hash;
@@ -75,8 +75,8 @@
 {
     if (!config->has_accounts)
         return true;
-    qsort(config->accounts, config->account_count, sizeof(*config->accounts), by_id);
-    qsort(config->keys, config->key_count, sizeof(*config->keys), by_hash);
+    qsort(config->accounts, config->account_count, sizeof(*config->accounts), compare_ids);
+    qsort(config->keys, config->key_count, sizeof(*config->keys), compare_hashes);
     for (size_t i = 1; i < config->account_count; i++) {
         if (config->accounts[i].id == config->accounts[i - 1].id) {
             err_set(err, ERR_INVALID, "two client accounts are one: %s",
@@ -122,10 +122,10 @@
 config_account_of_key(const config_t *config, str_t key)
 {
     const search_t search = {config, str_hash(key, config->key_seed)};
-    size_t at = search_lower_bound(config->key_count, is_key_below, &search);
-    for (; at < config->key_count && config->keys[at].hash == search.wanted; at++) {
-        if (str_eq_secret(key_text(&config->keys[at]), key))
-            return config_account(config, config->keys[at].account);
+    size_t pos = search_lower_bound(config->key_count, is_key_below, &search);
+    for (; pos < config->key_count && config->keys[pos].hash == search.wanted; pos++) {
+        if (str_eq_secret(key_text(&config->keys[pos]), key))
+            return config_account(config, config->keys[pos].account);
     }
     return NULL;
 }
@@ -134,7 +134,7 @@
 config_account(const config_t *config, uint64_t id)
 {
     const search_t search = {config, id};
-    const size_t at = search_lower_bound(config->account_count, is_account_below, &search);
-    const bool found = at < config->account_count && config->accounts[at].id == id;
-    return found ? &config->accounts[at] : NULL;
+    const size_t pos = search_lower_bound(config->account_count, is_account_below, &search);
+    const bool found = pos < config->account_count && config->accounts[pos].id == id;
+    return found ? &config->accounts[pos] : NULL;
 }
--- a/gateway/state/notices.h
+++ b/gateway/state/notices.h
@@ -19,29 +19,29 @@
 
 /* What one answer says. What it gives in a form that cannot be used counts as not there. */
 typedef struct {
-    bool names_limit;
+    bool has_limit;
     double limit_per_s; /* requests that it takes from all instances together */
-    bool leaves;
+    bool leaving;
     bool asks_rest;    /* it turned the request away and wants none from this instance for a time */
     uint64_t rest_ms;  /* that time */
     unsigned unusable; /* fields that cannot be used */
-} backend_said_t;
+} backend_statement_t;
 
 /* The rate that a backend server takes from all instances together, as it said last. */
 typedef struct {
-    bool named;       /* false: none, or it was lifted */
-    double per_s;     /* requests */
-    uint64_t said_ms; /* loop time from which on it holds; 0: nothing was ever said */
+    bool is_set;        /* false: none, or it was lifted */
+    double per_s;       /* requests */
+    uint64_t stated_ms; /* loop time from which on it holds; 0: nothing was ever said */
 } backend_limit_t;
 
 typedef struct {
     name_t backend; /* id */
     uint64_t born;  /* which life; 0 if it does not say */
     backend_limit_t limit;
-    bool leaves;
-    uint64_t leaves_ms;        /* loop time since when that is known to hold */
-    backend_limit_t announced; /* the limit as it was last when it was news */
-    bool untold;               /* others are to know of that, or that it leaves */
+    bool leaving;
+    uint64_t leaving_since_ms;       /* loop time since when that is known to hold */
+    backend_limit_t published_limit; /* the limit as it was last when it was news */
+    bool unpublished;                /* others are to know of that, or that it leaves */
 } notice_t;
 
 typedef struct {
@@ -52,17 +52,17 @@
 
 /* What a notice has changed. */
 typedef struct {
-    bool limit;  /* one where there was none or the other way round, or one far from it */
-    bool leaves; /* it leaves from now on */
+    bool limit;   /* one where there was none or the other way round, or one far from it */
+    bool leaving; /* it leaves from now on */
 } notice_change_t;
 
 /* NULL if nothing is known of that life. */
 const notice_t *notices_find(const notices_t *notices, str_t backend, uint64_t born);
 /* Takes over what is newer in `news`: its life, its limit if `limit.said_ms` is set, that it
  * leaves. */
-notice_change_t notices_take(notices_t *notices, const notice_t *news);
+notice_change_t notices_merge(notices_t *notices, const notice_t *news);
 /* Others know: the one of that backend, if there is one, need not be told. */
-void notices_mark_told(notices_t *notices, str_t backend);
+void notices_mark_published(notices_t *notices, str_t backend);
 /* Regular work: forgets what no backend server has said for long. What peers tell is as old as its
  * age, so that they do not remind each other for ever. */
 void notices_expire(notices_t *notices, uint64_t now_ms);
--- a/gateway/state/object_rates.c
+++ b/gateway/state/object_rates.c
@@ -24,10 +24,10 @@
 double
 object_rates_per_s(const object_rates_t *rates, uint64_t object)
 {
-    float least = rates->counts[0][column_of(object, 0)];
+    float min = rates->counts[0][column_of(object, 0)];
     for (unsigned row = 1; row < OBJECT_RATES_ROWS; row++)
-        least = fminf(least, rates->counts[row][column_of(object, row)]);
-    return least >= COUNT_MIN ? least / DECAY_S : 0;
+        min = fminf(min, rates->counts[row][column_of(object, row)]);
+    return min >= COUNT_MIN ? min / DECAY_S : 0;
 }
 
 void
--- a/gateway/state/permits.c
+++ b/gateway/state/permits.c
@@ -7,15 +7,15 @@
 
 enum {
     ITEMS_START = 8,
-    KEPT_MS = 60000,
+    RETENTION_MS = 60000,
     MS_PER_S = 1000,
 };
 
 static permit_bucket_t *
-bucket_of(permits_t *permits, uint64_t life, permit_rate_t rate, uint64_t now_ms)
+get_bucket(permits_t *permits, uint64_t life, permit_rate_t rate, uint64_t now_ms)
 {
     for (size_t i = 0; i < permits->count; i++) {
-        if (permits->items[i].life == life)
+        if (permits->items[i].incarnation == life)
             return &permits->items[i];
     }
     if (permits->count == permits->size) {
@@ -23,7 +23,7 @@
         permits->items = xrealloc(permits->items, permits->size * sizeof(*permits->items));
     }
     permit_bucket_t *item = &permits->items[permits->count++];
-    item->life = life;
+    item->incarnation = life;
     bucket_init(&item->tokens, rate.per_s, rate.burst, now_ms);
     bucket_charge(&item->tokens, rate.burst, now_ms);
     return item;
@@ -33,8 +33,8 @@
 permits_take(permits_t *permits, uint64_t life, permit_rate_t rate, uint64_t now_ms,
              uint32_t *wait_ms)
 {
-    permit_bucket_t *item = bucket_of(permits, life, rate, now_ms);
-    item->asked_ms = now_ms;
+    permit_bucket_t *item = get_bucket(permits, life, rate, now_ms);
+    item->last_request_ms = now_ms;
     bucket_set_rate(&item->tokens, rate.per_s, rate.burst, now_ms);
     if (bucket_take(&item->tokens, 1, now_ms))
         return true;
@@ -48,7 +48,7 @@
 {
     size_t kept = 0;
     for (size_t i = 0; i < permits->count; i++) {
-        if (now_ms - permits->items[i].asked_ms < KEPT_MS)
+        if (now_ms - permits->items[i].last_request_ms < RETENTION_MS)
             permits->items[kept++] = permits->items[i];
     }
     permits->count = kept;
--- a/gateway/state/permits.h
+++ b/gateway/state/permits.h
@@ -11,9 +11,9 @@
 #include "gateway/policy/named_limit.h"
 
 typedef struct {
-    uint64_t life; /* from backend_life() */
+    uint64_t incarnation; /* from backend_incarnation_hash() */
     bucket_t tokens;
-    uint64_t asked_ms; /* last time */
+    uint64_t last_request_ms; /* last time */
 } permit_bucket_t;
 
 typedef struct {
--- a/gateway/state/route_stats.c
+++ b/gateway/state/route_stats.c
@@ -2,12 +2,12 @@
 #include "gateway/state/route_stats.h"
 
 /* Weight of a new caller in the moving average of the time left. Chosen, not measured. */
-#define LEFT_GAIN 0.02
+#define LEFT_TIME_GAIN 0.02
 /* Step of the median's estimate towards a new value, as a share of it. Chosen, not measured. */
 #define MEDIAN_STEP 0.02
 
 static route_stat_t *
-slot_of(route_stats_t *stats, uint64_t route_key)
+get_slot(route_stats_t *stats, uint64_t route_key)
 {
     route_stat_t *slot = &stats->slots[route_key % ROUTE_STATS_SLOTS];
     if (slot->route_key != route_key)
@@ -26,7 +26,7 @@
 route_stats_count_answer(route_stats_t *stats, uint64_t route_key, double latency_ms)
 {
     const double measured_ms = latency_measured_ms(latency_ms);
-    double *median = &slot_of(stats, route_key)->median_ms;
+    double *median = &get_slot(stats, route_key)->median_ms;
     if (*median == 0)
         *median = measured_ms;
     else
@@ -36,9 +36,9 @@
 double
 route_stats_count_caller(route_stats_t *stats, uint64_t route_key, uint32_t left_ms)
 {
-    double *usual = &slot_of(stats, route_key)->usual_left_ms;
-    if (*usual == 0)
-        *usual = left_ms;
-    *usual += LEFT_GAIN * (left_ms - *usual);
-    return *usual;
+    double *average = &get_slot(stats, route_key)->average_left_ms;
+    if (*average == 0)
+        *average = left_ms;
+    *average += LEFT_TIME_GAIN * (left_ms - *average);
+    return *average;
 }
--- a/gateway/state/route_stats.h
+++ b/gateway/state/route_stats.h
@@ -15,7 +15,7 @@
 typedef struct {
     uint64_t route_key; /* config_route_t.key */
     /* Moving average of the time that callers still wait, 0 before the first. */
-    double usual_left_ms;
+    double average_left_ms;
     /* Estimated median time of whole answers, 0 before the first. */
     double median_ms;
 } route_stat_t;
--- a/gateway/state/services.c
+++ b/gateway/state/services.c
@@ -7,7 +7,7 @@
 
 enum {
     ITEMS_START = 16,
-    DEMAND_TIME_MS = 2000, /* time constant of the demand's average. Chosen, not measured */
+    DEMAND_TAU_MS = 2000, /* time constant of the demand's average. Chosen, not measured */
 };
 
 /* Weight of a new answer in the moving average of latencies. Chosen, not measured. */
@@ -32,8 +32,8 @@
 static service_t *
 service_at(const services_t *services, size_t index, str_t name)
 {
-    const bool there = index < services->count && name_eq(&services->items[index]->name, name);
-    return there ? services->items[index] : NULL;
+    const bool found = index < services->count && name_eq(&services->items[index]->name, name);
+    return found ? services->items[index] : NULL;
 }
 
 service_t *
@@ -82,7 +82,7 @@
 service_update_demand(service_t *service, uint64_t now_ms)
 {
     const double age_ms = (double)(now_ms - service->demand_ms);
-    const double keep = exp(-age_ms / DEMAND_TIME_MS);
+    const double keep = exp(-age_ms / DEMAND_TAU_MS);
     service->demand = keep * service->demand + (1 - keep) * service->in_flight;
     service->demand_ms = now_ms;
 }
@@ -113,5 +113,5 @@
 service_refused(service_t *service, uint64_t now_ms)
 {
     service_update_demand(service, now_ms);
-    service->demand += service->latency_ms / DEMAND_TIME_MS;
+    service->demand += service->latency_ms / DEMAND_TAU_MS;
 }
--- a/gateway/state/suspect.h
+++ b/gateway/state/suspect.h
@@ -28,7 +28,7 @@
 } fingerprint_t;
 
 typedef struct {
-    uint64_t life;    /* of the backend server, from backend_life_key() */
+    uint64_t life;    /* of the backend server, from backend_incarnation_key() */
     uint64_t version; /* of its software; 0: not known, it counts as any */
     uint64_t under;   /* in a family: the member that was there; else 0 */
     uint64_t at_ms;   /* loop time */
--- a/gateway/state/traffic.c
+++ b/gateway/state/traffic.c
@@ -3,16 +3,16 @@
 #include "gateway/state/traffic.h"
 
 /* Time constant of the averages, in milliseconds. Chosen, not measured. */
-#define AVERAGE_MS 2000.0
+#define AVERAGE_TAU_MS 2000.0
 /* Bytes of the heads of a request and its answer. Chosen from the users' examples. */
-enum { HEADS_BYTES = 600 };
+enum { HEADER_BYTES = 600 };
 #define MS_PER_S 1000.0
 
 void
 traffic_count(traffic_t *traffic, size_t bytes)
 {
     traffic->requests++;
-    traffic->bytes += bytes + HEADS_BYTES;
+    traffic->bytes += bytes + HEADER_BYTES;
 }
 
 void
@@ -21,7 +21,7 @@
     const double passed_ms = (double)(now_ms - traffic->updated_ms);
     if (passed_ms <= 0)
         return;
-    const double gain = 1 - exp(-passed_ms / AVERAGE_MS);
+    const double gain = 1 - exp(-passed_ms / AVERAGE_TAU_MS);
     const double requests_per_s = (double)traffic->requests * MS_PER_S / passed_ms;
     const double bytes_per_s = (double)traffic->bytes * MS_PER_S / passed_ms;
     traffic->requests_per_s += gain * (requests_per_s - traffic->requests_per_s);
--- a/test/gateway/fixture.c
+++ b/test/gateway/fixture.c
@@ -24,7 +24,7 @@
     route->prefix = xmemdup0(prefix, strlen(prefix));
     route->targets = xcalloc(1, sizeof(*route->targets));
     route->target_count = 1;
-    route->aim_ms = 400;
+    route->latency_objective_ms = 400;
     route->max_attempts = 2;
     name_set(&route->targets[0].service, STR("svc"));
 }
--- a/test/gateway/test_backend_leaving.c
+++ b/test/gateway/test_backend_leaving.c
@@ -99,12 +99,12 @@
     put_backend(site, leaving, "ready");
     RUN_UNTIL(site, seen_by(&fleet, 0)->info.born == leaving->born);
     ask_for(&fleet, fleet.count, SETTLE_MS);
-    ck_assert(seen_by(&fleet, 0)->says_leaving);
+    ck_assert(seen_by(&fleet, 0)->stated_leaving);
     leaving->says = NULL;
     leaving->born = 2000;
     put_backend(site, leaving, "ready");
     RUN_UNTIL(site, seen_by(&fleet, 0)->info.born == leaving->born);
-    ck_assert(!seen_by(&fleet, 0)->says_leaving);
+    ck_assert(!seen_by(&fleet, 0)->stated_leaving);
 }
 END_TEST
 
--- a/test/gateway/test_backend_limit.c
+++ b/test/gateway/test_backend_limit.c
@@ -75,11 +75,11 @@
 {
     instances_t fleet = new_limited(INSTANCES, "Server-Limit: 2\r\n");
     for (size_t i = 0; i < INSTANCES; i++)
-        ck_assert(seen_by(&fleet, i)->limit.named);
+        ck_assert(seen_by(&fleet, i)->limit.is_set);
     fleet.site->backends[0].says = NULL;
     ask_for(&fleet, 1, SETTLE_MS);
     for (size_t i = 0; i < INSTANCES; i++)
-        ck_assert(!seen_by(&fleet, i)->limit.named);
+        ck_assert(!seen_by(&fleet, i)->limit.is_set);
 }
 END_TEST
 
@@ -89,7 +89,7 @@
     const size_t before = fleet.site->backends[0].arrival_count;
     const addr_t seed = gateway_settings(fleet.gateways[0])->peer;
     fleet.gateways[1] = start_gateway(fleet.site, "g-2", &fleet.site->store_port, &seed);
-    RUN_UNTIL(fleet.site, seen_by(&fleet, 1) != NULL && seen_by(&fleet, 1)->limit.named);
+    RUN_UNTIL(fleet.site, seen_by(&fleet, 1) != NULL && seen_by(&fleet, 1)->limit.is_set);
     ck_assert_uint_eq(fleet.site->backends[0].arrival_count, before);
 }
 END_TEST
@@ -103,12 +103,12 @@
     put_backend(fleet.site, backend, "ready");
     RUN_UNTIL(fleet.site, seen_by(&fleet, 0)->info.born == backend->born);
     ask_for(&fleet, 1, SETTLE_MS);
-    ck_assert(seen_by(&fleet, 0)->limit.named);
+    ck_assert(seen_by(&fleet, 0)->limit.is_set);
     backend->says = NULL;
     backend->born = 2000;
     put_backend(fleet.site, backend, "ready");
     RUN_UNTIL(fleet.site, seen_by(&fleet, 0)->info.born == backend->born);
-    ck_assert(!seen_by(&fleet, 0)->limit.named);
+    ck_assert(!seen_by(&fleet, 0)->limit.is_set);
 }
 END_TEST
 
--- a/test/gateway/test_choice.c
+++ b/test/gateway/test_choice.c
@@ -119,7 +119,7 @@
     choice_fixture_t *fixture = new_choice();
     static const char *const ids[] = {"u1", "u2", "u3", "u4", "u5", "u6"};
     for (size_t i = 0; i < ALEN(ids); i++)
-        add_backend(fixture, ids[i], "a1")->work_ms = 200;
+        add_backend(fixture, ids[i], "a1")->service_time_ms = 200;
     choice_reason_t reason;
     backend_t *first = choice_pick(&fixture->input, &reason);
     /* With a short queue the request waits there. */
@@ -143,7 +143,7 @@
     choice_fixture_t *fixture = new_choice();
     static const char *const ids[] = {"u1", "u2", "u3", "u4", "u5", "u6"};
     for (size_t i = 0; i < ALEN(ids); i++)
-        add_backend(fixture, ids[i], "a1")->work_ms = 200;
+        add_backend(fixture, ids[i], "a1")->service_time_ms = 200;
     choice_reason_t reason;
     backend_t *first = choice_pick(&fixture->input, &reason);
     first->in_flight = 1;
--- a/test/gateway/test_lives.c
+++ b/test/gateway/test_lives.c
@@ -38,7 +38,7 @@
 {
     backends_free(&rig->catalog.backends);
     departures_free(&rig->catalog.departures);
-    departures_free(&rig->catalog.fresh);
+    departures_free(&rig->catalog.new_departures);
     free(rig->catalog.unusable);
     view_free(&rig->view);
     free(rig);
@@ -146,16 +146,16 @@
     rig_t *rig = new_rig();
     tell_entry(rig, "i-1", "ready", NOT_TOLD);
     tell_entry(rig, "i-2", "ready", NOT_TOLD);
-    ck_assert_uint_eq(rig->catalog.fresh.count, 0);
+    ck_assert_uint_eq(rig->catalog.new_departures.count, 0);
     tell_entry(rig, "i-1", "draining", NOT_TOLD);
-    ck_assert_uint_eq(rig->catalog.fresh.count, 1);
-    ck_assert(!rig->catalog.fresh.items[0].gone);
+    ck_assert_uint_eq(rig->catalog.new_departures.count, 1);
+    ck_assert(!rig->catalog.new_departures.items[0].gone);
     tell_entry(rig, "i-1", "draining", NOT_TOLD); /* told before */
-    ck_assert_uint_eq(rig->catalog.fresh.count, 0);
+    ck_assert_uint_eq(rig->catalog.new_departures.count, 0);
     tell(rig, "i-2", "");
-    ck_assert_uint_eq(rig->catalog.fresh.count, 1);
-    ck_assert(rig->catalog.fresh.items[0].gone);
-    ck_assert_uint_eq(rig->catalog.fresh.items[0].revision, rig->revision);
+    ck_assert_uint_eq(rig->catalog.new_departures.count, 1);
+    ck_assert(rig->catalog.new_departures.items[0].gone);
+    ck_assert_uint_eq(rig->catalog.new_departures.items[0].revision, rig->revision);
     free_rig(rig);
 }
 END_TEST
@@ -190,7 +190,7 @@
     backend_t *now = find(rig, "i-1");
     ck_assert(now != NULL && now != old && is_usable(rig, "i-1"));
     ck_assert(now->pool != old->pool);
-    ck_assert(now->in_flight == 0 && now->work_ms == 0 && now->other_load == 0);
+    ck_assert(now->in_flight == 0 && now->service_time_ms == 0 && now->other_load == 0);
     ck_assert(!backend_is_cold(now, rig->loop.time));
     ck_assert(now->health.weight == 0);
     ck_assert(!breaker_is_suspended(&now->breaker, rig->loop.time));
@@ -232,9 +232,9 @@
     tell_entry(rig, "i-1", "draining", NOT_TOLD);
     ck_assert_ptr_eq(find(rig, "i-1"), first);
     ck_assert(!is_usable(rig, "i-1"));
-    ck_assert_int_eq(backend_life_order(0, 7), 0);
-    ck_assert_int_lt(backend_life_order(6, 7), 0);
-    ck_assert_int_gt(backend_life_order(8, 7), 0);
+    ck_assert_int_eq(backend_incarnation_order(0, 7), 0);
+    ck_assert_int_lt(backend_incarnation_order(6, 7), 0);
+    ck_assert_int_gt(backend_incarnation_order(8, 7), 0);
     free_rig(rig);
 }
 END_TEST
@@ -273,7 +273,7 @@
     tell_entry(rig, "i-1", "ready", NOT_TOLD);
     tell_entry(rig, "i-1", "resting", NOT_TOLD);
     ck_assert(!is_usable(rig, "i-1"));
-    ck_assert_uint_eq(rig->catalog.fresh.count, 1);
+    ck_assert_uint_eq(rig->catalog.new_departures.count, 1);
     tell_entry(rig, "i-2", "ready", NOT_TOLD);
     ck_assert(!is_usable(rig, "i-1"));
     ck_assert_uint_eq(rig->catalog.unusable_count, 1);
--- a/test/gateway/test_notices.c
+++ b/test/gateway/test_notices.c
@@ -24,20 +24,20 @@
     enum { NONE = -1 };
     notices_t notices = {0};
     notice_t news = limit_of("i-1", 0, 2, 500);
-    ck_assert(notices_take(&notices, &news).limit);
+    ck_assert(notices_merge(&notices, &news).limit);
     /* The request was sent before the one that was answered with the limit. */
     news = limit_of("i-1", 0, NONE, 400);
-    ck_assert(!notices_take(&notices, &news).limit);
-    ck_assert(find(&notices, 0)->limit.named);
+    ck_assert(!notices_merge(&notices, &news).limit);
+    ck_assert(find(&notices, 0)->limit.is_set);
     news = limit_of("i-1", 0, 1, 450);
-    ck_assert(!notices_take(&notices, &news).limit);
+    ck_assert(!notices_merge(&notices, &news).limit);
     ck_assert_double_eq(find(&notices, 0)->limit.per_s, 2);
     /* A later one lifts it, and then an older one does not bring it back. */
     news = limit_of("i-1", 0, NONE, 700);
-    ck_assert(notices_take(&notices, &news).limit);
+    ck_assert(notices_merge(&notices, &news).limit);
     news = limit_of("i-1", 0, 2, 650);
-    ck_assert(!notices_take(&notices, &news).limit);
-    ck_assert(!find(&notices, 0)->limit.named);
+    ck_assert(!notices_merge(&notices, &news).limit);
+    ck_assert(!find(&notices, 0)->limit.is_set);
     notices_free(&notices);
 }
 END_TEST
@@ -49,7 +49,7 @@
     const bool news[] = {true, false, false, true, true};
     for (size_t i = 0; i < ALEN(limits); i++) {
         const notice_t notice = limit_of("i-1", 0, limits[i], 100 + i);
-        ck_assert(notices_take(&notices, &notice).limit == news[i]);
+        ck_assert(notices_merge(&notices, &notice).limit == news[i]);
         ck_assert_double_eq(find(&notices, 0)->limit.per_s, limits[i]);
     }
     notices_free(&notices);
@@ -60,18 +60,18 @@
 {
     notices_t notices = {0};
     notice_t news = limit_of("i-1", 10, 2, 500);
-    news.leaves = true;
-    notices_take(&notices, &news);
-    ck_assert(find(&notices, 10)->leaves);
+    news.leaving = true;
+    notices_merge(&notices, &news);
+    ck_assert(find(&notices, 10)->leaving);
     ck_assert_ptr_null(find(&notices, 20));
     news = limit_of("i-1", 20, 5, 600);
-    notices_take(&notices, &news);
-    ck_assert(!find(&notices, 20)->leaves);
+    notices_merge(&notices, &news);
+    ck_assert(!find(&notices, 20)->leaving);
     news = limit_of("i-1", 10, 1, 700); /* of the earlier life, late */
-    news.leaves = true;
-    notices_take(&notices, &news);
+    news.leaving = true;
+    notices_merge(&notices, &news);
     ck_assert_double_eq(find(&notices, 20)->limit.per_s, 5);
-    ck_assert(!find(&notices, 20)->leaves);
+    ck_assert(!find(&notices, 20)->leaving);
     notices_free(&notices);
 }
 END_TEST
@@ -80,11 +80,11 @@
 {
     notices_t notices = {0};
     notice_t news = limit_of("i-1", 0, 2, 500);
-    news.leaves = true;
-    ck_assert(notices_take(&notices, &news).leaves);
+    news.leaving = true;
+    ck_assert(notices_merge(&notices, &news).leaving);
     news = limit_of("i-1", 0, 2, 600);
-    ck_assert(!notices_take(&notices, &news).leaves);
-    ck_assert(find(&notices, 0)->leaves);
+    ck_assert(!notices_merge(&notices, &news).leaving);
+    ck_assert(find(&notices, 0)->leaving);
     notices_free(&notices);
 }
 END_TEST
@@ -95,14 +95,14 @@
     notices_t one = {0};
     notices_t other = {0};
     notice_t news = limit_of("i-1", 0, 2, 500);
-    news.leaves = true;
-    news.leaves_ms = 500;
-    notices_take(&one, &news);
+    news.leaving = true;
+    news.leaving_since_ms = 500;
+    notices_merge(&one, &news);
     for (uint64_t now_ms = 1000; now_ms < LONG_MS; now_ms += HEARTBEAT_MS) {
         if (one.count > 0)
-            notices_take(&other, &one.items[0]);
+            notices_merge(&other, &one.items[0]);
         if (other.count > 0)
-            notices_take(&one, &other.items[0]);
+            notices_merge(&one, &other.items[0]);
         notices_expire(&one, now_ms);
         notices_expire(&other, now_ms);
     }
@@ -116,7 +116,7 @@
 {
     notices_t notices = {0};
     const notice_t news = limit_of("i-1", 0, -1, 500);
-    ck_assert(!notices_take(&notices, &news).limit);
+    ck_assert(!notices_merge(&notices, &news).limit);
     ck_assert_uint_eq(notices.count, 0);
     notices_free(&notices);
 }
@@ -170,12 +170,12 @@
 
 START_TEST(a_backend_at_its_limit_is_passed_over_until_the_next_permit)
 {
-    backend_t backend = {.limit = {true, 2, 100}, .permit_from_ms = 700};
+    backend_t backend = {.limit = {true, 2, 100}, .next_permit_ms = 700};
     ck_assert_int_eq(pass_over(&backend, true, 500), PASSED_AT_LIMIT);
     ck_assert_uint_eq(pass_over_wait_ms(&backend, 500), 200);
     ck_assert_int_eq(pass_over(&backend, true, 700), PASSED_NOT);
     ck_assert_int_eq(pass_over(&backend, false, 700), PASSED_AT_LIMIT);
-    backend.limit.named = false;
+    backend.limit.is_set = false;
     ck_assert_int_eq(pass_over(&backend, true, 500), PASSED_NOT);
     ck_assert_int_eq(pass_over(&backend, false, 500), PASSED_NOT);
 }
@@ -183,7 +183,7 @@
 
 START_TEST(a_backend_that_says_it_leaves_is_passed_over_for_good)
 {
-    backend_t backend = {.listed = true, .says_leaving = true, .limit = {true, 2, 100}};
+    backend_t backend = {.listed = true, .stated_leaving = true, .limit = {true, 2, 100}};
     ck_assert_int_eq(pass_over(&backend, true, 500), PASSED_LEAVES);
     ck_assert_uint_eq(pass_over_wait_ms(&backend, 500), 0);
     ck_assert(backend_is_leaving(&backend) && !backend_is_usable(&backend, 500));
--- a/test/gateway/test_platform.c
+++ b/test/gateway/test_platform.c
@@ -95,11 +95,11 @@
 }
 END_TEST
 
-static backend_said_t
+static backend_statement_t
 read_notice(int status, const char *name, const char *value, const char *again)
 {
     wire_head_t head = {.status = status};
-    backend_said_t said;
+    backend_statement_t said;
     add_field(&head, name, value);
     if (again != NULL)
         add_field(&head, name, again);
@@ -110,12 +110,12 @@
 
 START_TEST(reads_what_a_backend_says_of_itself)
 {
-    backend_said_t said = read_notice(200, "Server-Limit", "1.25", NULL);
-    ck_assert(said.names_limit && said.limit_per_s == 1.25 && !said.leaves && !said.asks_rest);
+    backend_statement_t said = read_notice(200, "Server-Limit", "1.25", NULL);
+    ck_assert(said.has_limit && said.limit_per_s == 1.25 && !said.leaving && !said.asks_rest);
     said = read_notice(200, "server-limit", " 0 ", NULL);
-    ck_assert(said.names_limit && said.limit_per_s == 0 && said.unusable == 0);
+    ck_assert(said.has_limit && said.limit_per_s == 0 && said.unusable == 0);
     said = read_notice(503, "Server-Leaving", "1", NULL);
-    ck_assert(said.leaves && !said.names_limit && !said.asks_rest);
+    ck_assert(said.leaving && !said.has_limit && !said.asks_rest);
     said = read_notice(503, "Retry-After", "0.5", NULL);
     ck_assert(said.asks_rest && said.rest_ms == 500);
     said = read_notice(429, "Retry-After", "3", NULL);
@@ -126,7 +126,7 @@
     said = read_notice(503, "Retry-After", "0", NULL);
     ck_assert(!said.asks_rest && said.unusable == 0);
     said = read_notice(200, "Server-Leaving", "0", NULL);
-    ck_assert(!said.leaves && said.unusable == 0);
+    ck_assert(!said.leaving && said.unusable == 0);
 }
 END_TEST
 
@@ -138,13 +138,12 @@
     static const char *const names[] = {"Server-Limit", "Server-Leaving", "Retry-After"};
     for (size_t k = 0; k < ALEN(names); k++) {
         for (size_t i = 0; i < ALEN(bad); i++) {
-            const backend_said_t said = read_notice(503, names[k], bad[i], NULL);
-            ck_assert_msg(!said.names_limit && !said.leaves && !said.asks_rest &&
-                              said.unusable == 1,
+            const backend_statement_t said = read_notice(503, names[k], bad[i], NULL);
+            ck_assert_msg(!said.has_limit && !said.leaving && !said.asks_rest && said.unusable == 1,
                           "%s: %s", names[k], bad[i]);
         }
-        const backend_said_t twice = read_notice(503, names[k], "1", "1");
-        ck_assert(!twice.names_limit && !twice.leaves && !twice.asks_rest && twice.unusable == 1);
+        const backend_statement_t twice = read_notice(503, names[k], "1", "1");
+        ck_assert(!twice.has_limit && !twice.leaving && !twice.asks_rest && twice.unusable == 1);
     }
 }
 END_TEST
@@ -200,7 +199,7 @@
     ck_assert_str_eq(config->version, "0000000c");
     const config_route_t *once = config_route(config, STR("h.example"), STR("/p/x"));
     ck_assert(!once->repeatable && once->sticky && once->regions.count == 1);
-    ck_assert_uint_eq(once->aim_ms, 500);
+    ck_assert_uint_eq(once->latency_objective_ms, 500);
     const config_route_t *large = config_route(config, STR("h.example"), STR("/d/"));
     ck_assert(large->repeatable && large->large && large->target_count == 2);
     ck_assert(large->targets[0].weight == 90);
@@ -292,8 +291,8 @@
         err_t err = {0};
         config_t *config = platform_decoder.config(str_from(text), &err);
         ck_assert_msg(config != NULL, "%s", err.detail);
-        ck_assert_uint_eq(config->routes_left_out, 1);
-        ck_assert_uint_eq(config->services_left_out, 1);
+        ck_assert_uint_eq(config->routes_skipped, 1);
+        ck_assert_uint_eq(config->services_skipped, 1);
         ck_assert_uint_eq(config_route(config, STR("h"), STR("/g/x"))->target_count, 1);
         ck_assert_ptr_null(config_route(config, STR("h"), STR("/b/x")));
         /* Its requests are not those of the route that begins their paths as well. */
@@ -333,7 +332,7 @@
     const config_route_t *route = config_route(config, STR("h"), STR("/"));
     ck_assert(!route->repeatable && !route->sticky);
     ck_assert_uint_eq(route->timeout_ms, 0);
-    ck_assert_uint_eq(route->aim_ms, 0);
+    ck_assert_uint_eq(route->latency_objective_ms, 0);
     ck_assert_uint_eq(route->max_attempts, 3);
     ck_assert_uint_eq(config->limits.max_head_bytes, 16384);
     config_unref(config);
