--- a/gateway/state/account_lease.c
+++ b/gateway/state/account_lease.c
@@ -3,36 +3,36 @@
 #include <math.h>
 
 #define MS_PER_S 1000.0
-/* Asked in a second below which a region that falls silent is taken to spend nothing. */
+/* Demand below which a silent region is assumed to use nothing. */
 #define DEMAND_MIN_PER_S 0.02
-/* Times what was asked lately that is taken to be spent where nothing is heard. Chosen: callers of
- * other instances come to it. */
+/* Assumed use of a silent instance or region, as a multiple of its last known demand; callers may
+ * move there from other instances. */
 #define SILENT_DEMAND_FACTOR 1.5
-/* The least part of a bucket that is worth deciding by. Chosen */
+/* Lower bound of the fraction used as the bucket's depth. */
 #define VISIBLE_FRACTION_MIN 0.1
-/* Time constant of how fast the room is taken, in milliseconds: about the reaction time of
- * account_share.c. */
+/* Time constant of the usage rate in milliseconds, about the reaction time of account_share.c. */
 #define USED_TAU_MS 200.0
 
 enum {
-    /* Silence after which an instance that is held is taken for out of touch: it reports every
-     * 200 ms (account_uses.h), and may be a tenth of a second behind. */
+    /* A limited instance counts as silent after this time without a report. It reports every 200 ms
+     * (KEEPALIVE_MS in account_uses.c). */
     REPORTER_SILENT_MS = 400,
-    /* Silence after which another region is: its owner tells it something every 400 ms, 40 ms away;
-     * the same while instances are held, when a silent region may be spending much. */
+    /* A region counts as silent after this time without an exchange; its owner sends one at least
+     * every 400 ms. The limit is lower while instances are limited, as a silent region may then use
+     * its whole share. */
     PEER_SILENT_MS = 1200,
     PEER_SILENT_LIMITED_MS = 600,
-    /* One owner of a region is silent for so long while another speaks: it has given the account
-     * up. Above the 400 ms of an exchange. */
+    /* An owner that is silent for this long while another owner of its region sends has handed the
+     * account over. Above the 400 ms between exchanges. */
     PEER_SUPERSEDED_MS = 450,
-    /* What a silent instance was lent lapses after this time, where more than half of the instances
-     * are heard: the other side of a cut goes on with what it was lent. Chosen: longer than
-     * restarts and most cuts; meanwhile callers of dead instances share what the living have. */
+    /* The lease of an unreachable instance expires after this time if this instance reaches a
+     * majority. Longer than restarts and most network partitions; until then the share of a dead
+     * instance is unavailable. */
     LEASE_MS = 30000,
-    /* Time in which all instances of a region come to a new owner: two heartbeats. Chosen. */
+    /* Time within which all instances of a region switch to a new owner: two heartbeats. */
     HANDOVER_MS = 3000,
-    /* Rest after which a user is forgotten, which has no share by then: half of the rest after
-     * which it forgets the account (account_uses.c). */
+    /* An instance without a report for this long is removed. Half of IDLE_EXPIRY_MS in
+     * account_uses.c, after which the instance drops its own counters. */
     REPORTER_IDLE_MS = 15000,
 };
 
@@ -42,7 +42,8 @@
     return now_ms - reporter->last_report_ms > REPORTER_IDLE_MS;
 }
 
-/* More than a bucket below nothing is a fault of the counting, and must not shut an account out. */
+/* The balance is kept within one bucket depth on either side of zero, so that a counting error
+ * cannot block an account. */
 void
 account_lease_charge(ledger_t *ledger, double requests, uint64_t now_ms)
 {
@@ -52,20 +53,20 @@
     event_rate_add(&ledger->used_rate, requests, USED_TAU_MS, now_ms);
 }
 
-/* Lent by the owner before in the own region to instances that do not report here. */
+/* Share of the own region that the previous owner granted to instances that do not report here. */
 static double
 unreported_lease_per_s(const ledger_t *ledger)
 {
     return fmax(0, ledger->inherited.region_per_s - ledger->inherited.reporting_per_s);
 }
 
-/* Milliseconds of the span up to now in which it was silent. */
+/* Length of the silence within the interval that ends now, in milliseconds. */
 static double
 silent_ms(uint64_t heard_ms, uint64_t silent_after_ms, uint64_t from_ms, uint64_t now_ms)
 {
     if (now_ms - heard_ms <= silent_after_ms)
         return 0;
-    /* The time until it was noticed counts too, once. */
+    /* The time before the silence was detected is charged once. */
     const bool charged_before = from_ms > heard_ms + silent_after_ms;
     return (double)(now_ms - (charged_before ? from_ms : heard_ms));
 }
@@ -113,9 +114,9 @@
            (ledger->limited && now_ms - reporter->last_report_ms > REPORTER_SILENT_MS);
 }
 
-/* Requests a second that a silent instance is taken to spend: all that it was lent while instances
- * are held, and else what its callers asked for lately and half as much again. By shares alone
- * accounts at a hundredth of their limit were found to have spent all of it. */
+/* Assumed rate of a silent instance: its whole share while limited, otherwise its recent demand
+ * times SILENT_DEMAND_FACTOR, up to its share. Charging whole shares would exhaust accounts that
+ * are far below their limit. */
 static double
 silent_reporter_per_s(const ledger_t *ledger, const ledger_reporter_t *reporter)
 {
@@ -124,8 +125,8 @@
     return fmin(reporter->share_per_s, SILENT_DEMAND_FACTOR * reporter->demand_per_s);
 }
 
-/* The part of what was lent that those who are heard ask for, and half as much again: the others
- * are taken to do alike, or to spend all while instances are held. */
+/* Assumed use of inherited grants as a fraction of them: all while limited, otherwise the same
+ * fraction as the reporting instances, times SILENT_DEMAND_FACTOR. */
 static double
 assumed_lease_fraction(const ledger_t *ledger, uint64_t now_ms)
 {
@@ -147,7 +148,7 @@
     return sum;
 }
 
-/* Requests that the silent user may have spent since that was last looked at. */
+/* Requests that a silent instance may have used since the last charge. */
 static double
 reporter_assumed(const ledger_t *ledger, const ledger_reporter_t *reporter, uint64_t now_ms)
 {
@@ -159,8 +160,8 @@
     return silent_reporter_per_s(ledger, reporter) * span_ms / MS_PER_S;
 }
 
-/* True if another owner of its region was heard since: what that one does not see is in its sums.
- */
+/* True if another owner of the same region has been heard since; that owner accounts for the
+ * instances which do not report to it. */
 static bool
 is_superseded(const ledger_t *ledger, const ledger_peer_t *peer)
 {
@@ -189,7 +190,7 @@
     return per_s * span_ms / MS_PER_S;
 }
 
-/* Lent by the owner before in the own region. */
+/* Assumed use of the previous owner's grants in the own region. */
 static double
 unreported_lease_assumed(const ledger_t *ledger, uint64_t now_ms)
 {
@@ -199,7 +200,7 @@
     return per_s * (double)(now_ms - ledger->charged_until_ms) / MS_PER_S;
 }
 
-/* In other regions, while none of them is heard. */
+/* Assumed use of the other regions while none of them has been heard. */
 static double
 other_regions_assumed(const ledger_t *ledger, uint64_t now_ms)
 {
@@ -221,8 +222,8 @@
     return sum;
 }
 
-/* No more is assumed than the room has down to a bucket below nothing: what is given back later
- * must have been taken. */
+/* Fraction of the assumed requests that fits above the lower bound of the bucket. The rest is not
+ * charged, so that a later refund never exceeds the charge. */
 static double
 chargeable_fraction(ledger_t *ledger, double requests, uint64_t now_ms)
 {
@@ -230,8 +231,8 @@
     return requests > left ? fmax(0, left) / requests : 1;
 }
 
-/* The part of the room that goes with a share: who falls silent may have an owner elsewhere that
- * begins with it. */
+/* Tokens that correspond to a share. A silent instance may report to another owner, which starts
+ * with these tokens. */
 static double
 share_of_tokens(ledger_t *ledger, double share_per_s, uint64_t now_ms)
 {
@@ -239,8 +240,8 @@
     return ledger->bucket.rate > 0 ? room * fmin(1, share_per_s / ledger->bucket.rate) : 0;
 }
 
-/* Notes who has fallen silent, and takes their parts of the room; returns those of the own region.
- */
+/* Marks instances and peers that became silent and charges their part of the tokens. Returns the
+ * part of the own region. */
 static double
 charge_newly_silent(ledger_t *ledger, double total_demand_per_s, uint64_t now_ms)
 {
@@ -295,9 +296,10 @@
         account_lease_charge(ledger, part * requests, now_ms);
 }
 
-/* ---- whose lease is over ---- */
+/* ---- lease expiry ---- */
 
-/* True if it is to be forgotten: it spends nothing, or its lease has lapsed. */
+/* True if the instance is to be removed: its process has ended, its lease has expired or it is
+ * idle. */
 static bool
 is_expired(ledger_reporter_t *reporter, const ledger_view_t *view, uint64_t now_ms)
 {
@@ -313,7 +315,7 @@
     return account_lease_is_stale(reporter, now_ms);
 }
 
-/* A process that has ended spent nothing of what it was taken to. */
+/* Refunds what was assumed of a process that has ended. */
 static void
 refund_assumed(ledger_t *ledger, double assumed, uint64_t now_ms)
 {
@@ -348,9 +350,9 @@
     ledger->peer_count = kept;
 }
 
-/* An owner before that lives has given the account up, and its instances come here; one that is
- * lost may still speak for some; one that has ended speaks for nobody. What other regions have
- * stays bound until they are heard. */
+/* A previous owner that is alive has handed the account over; one that is unreachable may still
+ * grant shares; one that has ended grants none. The share of other regions stays reserved until
+ * they are heard. */
 static void
 expire_inherited(ledger_t *ledger, const ledger_view_t *view, uint64_t now_ms)
 {
--- a/gateway/state/account_ledger.c
+++ b/gateway/state/account_ledger.c
@@ -7,32 +7,30 @@
 #include "base/xmalloc.h"
 #include "gateway/policy/account_share.h"
 
-/* Time constants, in milliseconds: of how fast the room is taken (as in account_lease.c), and of
- * what is asked where, long enough that an instance with a request in three seconds keeps a share.
- */
+/* Time constants in milliseconds of the usage rate (as in account_lease.c) and of the demand. The
+ * latter is long enough for an instance with one request in three seconds to keep a share. */
 #define USED_TAU_MS 200.0
 #define DEMAND_TAU_MS 5000.0
 #define MS_PER_S 1000.0
-/* Part of a bucket above which an owner before saw its account far below the limit: at half of it a
- * surge that a bucket without a burst had half filled for was let through. */
+/* Fill level of the previous owner's bucket above which the account was far below its limit. */
 #define PLENTIFUL_FRACTION 0.8
-/* Asked in a second below which nothing needs to be told. */
+/* Demand below which no exchange is needed. */
 #define DEMAND_MIN_PER_S 0.02
 
 enum {
     ITEMS_START = 8,
-    /* For so long a ledger that begins takes the room that others tell it. Chosen: the report that
-     * began it, and those of the instances that noticed a little later. */
+    /* A new ledger adopts token counts from other owners' messages for this long, which covers the
+     * reports of instances that detect the new owner later. */
     ADOPTION_MS = 1000,
-    /* Exchanges go out this often while anything changes, and at the least while anything is asked.
-     * The first is a part of the reaction time; the second bounds how late silence is noticed. */
+    /* Interval of exchanges while usage changes, and while there is only demand. The first adds to
+     * the reaction time, the second bounds how fast silence is detected. */
     EXCHANGE_MS = 50,
     EXCHANGE_IDLE_MS = 400,
-    PEER_ACTIVE_MS = 1200, /* an owner that was heard within this time is to hear of this one */
-    /* Time without a report after which no instance comes to this owner any more: one that is held
-     * reports every 200 ms. Chosen. */
+    PEER_ACTIVE_MS = 1200, /* a peer heard within this time is sent exchanges */
+    /* Without a report for this long, no instance uses this owner any more; a limited instance
+     * reports every 200 ms. */
     NO_REPORTERS_MS = 700,
-    IDLE_EXPIRY_MS = 10000, /* rest after which a ledger may be forgotten. Chosen */
+    IDLE_EXPIRY_MS = 10000, /* idle time before a ledger is removed */
 };
 
 static void *
@@ -89,7 +87,7 @@
     bucket_set_rate(&ledger->bucket, account->rate_per_s, depth, now_ms);
 }
 
-/* ---- use ---- */
+/* ---- usage ---- */
 
 static ledger_reporter_t *
 find_reporter(const ledger_t *ledger, uint64_t source)
@@ -107,8 +105,8 @@
     return find_reporter(ledger, source) != NULL;
 }
 
-/* The owner before is out of reach, and told one of its users a share: that is known, and the part
- * of the room that goes with it is there. */
+/* The previous owner is unreachable, and one of the instances reports the share it was granted.
+ * Adopts that share and the corresponding part of the tokens. */
 static void
 inherit_grant(ledger_t *ledger, const ledger_report_t *report, bool adopts)
 {
@@ -131,7 +129,7 @@
     }
 }
 
-/* What the owner before told one of its users. */
+/* Evaluates what the previous owner granted to an instance that reports here for the first time. */
 static void
 apply_predecessor_grant(ledger_t *ledger, const ledger_report_t *report, uint64_t now_ms)
 {
@@ -148,7 +146,8 @@
     return ledger->inherited.owner;
 }
 
-/* One heard anew: what no owner has counted yet is new, the rest is what other owners counted. */
+/* Adds an instance. Only requests that no owner has acknowledged are charged; the others were
+ * counted by previous owners. */
 static ledger_reporter_t *
 add_reporter(ledger_t *ledger, uint64_t source, const ledger_report_t *report, uint64_t now_ms)
 {
@@ -222,8 +221,8 @@
     return NULL;
 }
 
-/* One heard anew. What a ledger that has just begun has counted is new; an older one spoke for
- * instances that others counted before, or took to spend what they were lent. */
+/* Adds a peer. The count of a ledger that was just created is charged in full; an older ledger's
+ * count includes requests that other owners have already counted or assumed. */
 static ledger_peer_t *
 add_peer(ledger_t *ledger, const ledger_exchange_t *exchange, uint64_t now_ms)
 {
@@ -307,7 +306,7 @@
     return ledger->limited != was_limited;
 }
 
-/* Requests a second that the own region may spend. */
+/* Rate available to the own region. */
 static double
 region_share(const ledger_t *ledger, const account_share_input_t *input, uint64_t now_ms)
 {
@@ -329,10 +328,10 @@
     return sum;
 }
 
-/* The part of an instance in what the heard ones of its region may spend. While shares are not in
- * force they are told with the answer to a report, just after a request: by what was asked without
- * that one, and half of it evenly, since an instance has a request in three seconds and the parts
- * of all are to come to one. */
+/* Fraction of the region's rate that the instance gets, among those that report. Outside of
+ * limiting, the grant is sent in reply to a report that follows a request. That request is left
+ * out, and half of the rate is divided evenly, because an instance may have one request in three
+ * seconds and all fractions must add up to one. */
 static double
 reporter_fraction(const ledger_t *ledger, const ledger_reporter_t *reporter, uint64_t now_ms)
 {
@@ -361,7 +360,7 @@
         .region_per_s = region_per_s,
         .tokens = input.room,
     };
-    /* Until it reports again, it may have either. */
+    /* The instance may use either share until its next report. */
     if (reporter != NULL)
         reporter->share_per_s = fmax(reporter->share_per_s, grant.share_per_s);
     return grant;
@@ -369,7 +368,7 @@
 
 /* ---- exchanges ---- */
 
-/* Another owner speaks: it is to hear of this one. */
+/* True if another owner is active and expects exchanges. */
 static bool
 has_active_peer(const ledger_t *ledger, uint64_t now_ms)
 {
--- a/gateway/state/account_ledgers.c
+++ b/gateway/state/account_ledgers.c
@@ -6,14 +6,14 @@
 #include "base/search.h"
 #include "base/xmalloc.h"
 
-/* A ledger begins with this part of its bucket where all instances may have started at once: each
- * start must not hand out a burst anew, and the first second must not be refused. Chosen. */
+/* Initial fill level of a bucket while all instances may have just started: a restart must not
+ * grant a full burst, nor refuse the requests of the first second. */
 #define STARTUP_FILL 0.5
 
 enum {
     ITEMS_START = 8,
-    /* Uptime of the instance below which all may have started at once. Chosen: two heartbeats and a
-     * restart of a process. */
+    /* Uptime up to which all instances may have just started: two heartbeats and a process
+     * restart. */
     STARTUP_MS = 5000,
 };
 
--- a/gateway/state/account_ledgers.h
+++ b/gateway/state/account_ledgers.h
@@ -1,5 +1,5 @@
 /*
- * Account ledgers: the ledgers of the client accounts in use that this instance owns.
+ * Account ledgers: the ledgers of the active client accounts that this instance owns.
  *
  * Owns them. Relies on account_ledger.h; time is passed in.
  */
@@ -8,19 +8,19 @@
 #include "gateway/state/account_ledger.h"
 
 typedef struct {
-    ledger_t **items; /* sorted by id; a ledger never moves */
+    ledger_t **items; /* sorted by id; pointers stay valid */
     size_t count;
     size_t size;
-    uint64_t started_ms; /* when this instance started */
-    uint64_t source;     /* its random number */
+    uint64_t started_ms; /* start of this instance */
+    uint64_t source;     /* random number of this instance */
 } ledgers_t;
 
-/* NULL if there is none. */
+/* Returns NULL if there is none. */
 ledger_t *ledgers_find(const ledgers_t *ledgers, uint64_t id);
-/* The same, begun if it is new. */
+/* Finds or creates a ledger. */
 ledger_t *ledgers_get(ledgers_t *ledgers, const config_account_t *account, uint64_t now_ms);
-/* Forgets the ledger. */
+/* Removes and frees the ledger. */
 void ledgers_remove(ledgers_t *ledgers, ledger_t *ledger);
-/* Forgets those that have rested. */
+/* Removes idle ledgers. */
 void ledgers_expire(ledgers_t *ledgers, uint64_t now_ms);
 void ledgers_free(ledgers_t *ledgers);
--- a/gateway/state/account_uses.c
+++ b/gateway/state/account_uses.c
@@ -8,19 +8,16 @@
 
 enum {
     ITEMS_START = 16,
-    /* Time without an answer after which no owner counts as in touch: a report, its answer, and the
-     * queue of an instance with a tenth of a core that has just started among 67. With 250 ms, and
-     * 120 ms until the next owner was asked, a fleet that started as a whole took itself for cut
-     * off: 11,244 tries of a day were told 429, 486 with these. What a cut instance lets through in
-     * it is unseen. */
+    /* Without an answer for this long, the instance counts as disconnected from owners. Covers a
+     * report, its answer and the queue of a slow instance at startup of the whole fleet. Requests
+     * that a partitioned instance admits within it are not seen by the owner. */
     ANSWER_TIMEOUT_MS = 400,
-    /* The same for an instance that was told nothing yet: it cannot tell what its part is. */
+    /* The same before the first grant, while the instance does not know its share. */
     FIRST_ANSWER_TIMEOUT_MS = 1500,
-    /* How often an instance that is held says that it is in touch: the owner takes what it was lent
-     * for spent where it is silent for twice as long. Chosen. */
+    /* Interval of reports while limited. The owner assumes the share to be used after twice this
+     * time without a report. */
     KEEPALIVE_MS = 200,
-    /* Rest after which an entry is forgotten: its share has filled the bucket long before. Chosen
-     */
+    /* Idle time before an entry is removed; long enough for its share to refill the bucket. */
     IDLE_EXPIRY_MS = 30000,
 };
 
