--- a/gateway/state/backend.c
+++ b/gateway/state/backend.c
@@ -7,13 +7,12 @@
 #include "wire/client.h"
 
 enum {
-    ID_HASH_SEED = 41, /* any number; the same on every instance */
-    /* Time in which the load reported by an answer loses half of its weight. Chosen, not measured.
-     */
+    ID_HASH_SEED = 41, /* any constant; the same on every instance */
+    /* Half-life of the load that an answer reported. */
     LOAD_HALF_LIFE_MS = 400,
 };
 
-/* Weight of a new answer in the moving average of working times. Chosen, not measured. */
+/* Weight of a new answer in the moving average of service times. */
 #define SERVICE_TIME_GAIN 0.1
 
 backend_t *
@@ -109,7 +108,8 @@
 bool
 backend_is_usable(const backend_t *backend, uint64_t now_ms)
 {
-    /* What it told itself binds whatever its entry says: the store may be away, slow or behind. */
+    /* A backend's own statement takes precedence over its entry: the store may be unavailable or
+     * stale. */
     if (!backend->listed || backend_is_leaving(backend) || backend->hall_closed ||
         backend->replaced)
         return false;
--- a/gateway/state/backend.h
+++ b/gateway/state/backend.h
@@ -1,12 +1,13 @@
 /*
- * One backend server as this instance knows it: what the store says of it, and what was learned by
- * sending requests to it.
+ * A backend server as seen by this instance: its entry in the store, and the state learned from the
+ * requests sent to it.
  *
- * A backend is one life of a backend server: one that started again, under a new id or under its
- * own, is another backend.
- * Owns the connection pool, the breaker, the health and the cold-start tokens of its backend.
- * Reference-counted, since an attempt may outlive the backend's place in the list (backends.h).
- * Relies on wire/client.h for the pool; time is passed in.
+ * A backend is one incarnation of a backend server. After a restart, under the same id or a new
+ * one, it is another backend.
+ *
+ * Owns the connection pool, the circuit breaker, the health and the cold-start tokens of its
+ * backend. Reference-counted, since an attempt may outlive the backend's entry in the list
+ * (backends.h). Relies on wire/client.h for the pool; time is passed in.
  */
 #pragma once
 
@@ -19,20 +20,20 @@
 
 typedef struct wire_pool wire_pool_t;
 
-/* What the store's entry of a backend says. */
+/* A backend's entry in the store. */
 typedef struct {
     name_t id;
     name_t service;
     name_t hall;
     addr_t addr;
-    uint32_t capacity; /* slots: requests it works on at once */
-    bool leaving;      /* it is about to end and must get no new requests */
-    uint32_t cold_ms;  /* how much longer it is cold, from when the entry was written */
-    uint64_t version;  /* hash of its software's version; 0 if it does not say */
-    uint64_t born;     /* when this life began, in Unix milliseconds; 0 if it does not say */
+    uint32_t capacity; /* slots: requests it processes concurrently */
+    bool leaving;      /* it is shutting down and must get no new requests */
+    uint32_t cold_ms;  /* remaining cold time when the entry was written */
+    uint64_t version;  /* hash of its software version; 0: unknown */
+    uint64_t born;     /* start of this incarnation in Unix milliseconds; 0: unknown */
 } backend_info_t;
 
-/* What a backend's answer says of its load. */
+/* The load that a backend reports in an answer. */
 typedef struct {
     uint32_t running; /* requests in its slots */
     uint32_t waiting; /* requests in its queue */
@@ -41,64 +42,64 @@
 
 typedef struct {
     backend_info_t info;
-    size_t region;     /* index in the topology, TOPOLOGY_NO_REGION if not known */
+    size_t region;     /* index in the topology, TOPOLOGY_NO_REGION if unknown */
     uint64_t key;      /* hash of the id, for rendezvous hashing */
     wire_pool_t *pool; /* NULL in tests without connections */
     size_t refs;
     uint64_t revision;           /* of the entry that `info` was read from */
-    bool listed;                 /* false once it was taken out of the list */
-    bool hall_closed;            /* its data hall must get no requests */
+    bool listed;                 /* false once removed from the list */
+    bool hall_closed;            /* its data hall is closed and must get no requests */
     bool replaced;               /* another backend answers at its address */
-    bool stated_leaving;         /* it told so in an answer: that stays, whatever its entry says */
-    rest_t rest;                 /* that it asked this instance for */
-    backend_limit_t limit;       /* that it names in its answers */
-    double plan_slots;           /* slots for which it counts in plans; 0: for all */
-    uint64_t next_permit_ms;     /* the next permit for it may be asked for */
-    unsigned permits_pending;    /* and not answered yet */
-    unsigned permits_unanswered; /* requests for one since the last answer */
-    bool logged_unusable;        /* the log tells of a notice that could not be used */
-    uint64_t remove_at_ms; /* when its absence from the store takes effect, 0 if it is there */
+    bool stated_leaving;         /* it announced its shutdown in an answer; never reset */
+    rest_t rest;                 /* pause that it asked this instance for */
+    backend_limit_t limit;       /* rate limit that it stated in its answers */
+    double plan_slots;           /* slots assigned by region plans while it has a limit; 0: all */
+    uint64_t next_permit_ms;     /* earliest time of the next permit request */
+    unsigned permits_pending;    /* permit requests without an answer so far */
+    unsigned permits_unanswered; /* permit requests since the last answer */
+    bool logged_unusable;        /* an unusable notice of it was logged */
+    uint64_t remove_at_ms;       /* when its absence from the store takes effect; 0: present */
     uint64_t cold_until_ms;
     bucket_t cold_tokens; /* this instance's part of the requests it can take while cold */
     uint32_t in_flight;   /* attempts of this instance */
-    uint64_t sends;       /* attempts of this instance so far */
-    double other_load;    /* requests of other instances there, as of load_reported_ms */
+    uint64_t sends;       /* total attempts of this instance */
+    double other_load;    /* requests of other instances, as of load_reported_ms */
     uint64_t load_reported_ms;
     breaker_t breaker;
     health_t health;
-    bool logged_avoided;    /* the log says that it is avoided */
-    bool end_check_running; /* whether it has ended is being looked at (path/end_check.h) */
-    double service_time_ms; /* moving average of answers that did not queue; 0 before the first */
+    bool logged_avoided;    /* logged as avoided */
+    bool end_check_running; /* a check for its end is running (path/end_check.h) */
+    double service_time_ms; /* moving average over answers that did not queue; 0 before the first */
 } backend_t;
 
-/* The caller gets a reference. `pool` becomes the backend's; it may be NULL. */
+/* The caller gets a reference. Takes ownership of `pool`, which may be NULL. */
 backend_t *backend_new(const backend_info_t *info, size_t region, wire_pool_t *pool);
 backend_t *backend_ref(backend_t *backend);
 /* Frees the backend and its pool with the last reference. */
 void backend_unref(backend_t *backend);
 
-/* Hash of the backend's life: of its id, and of when it began if it says so. */
+/* Hash of the backend's incarnation: of its id and its start time. */
 uint64_t backend_incarnation_key(const backend_t *backend);
-/* Below, at or above 0 as the life that began at `left` is earlier than, the same as or later than
- * the one of `right`. One that does not say counts as the same. */
+/* Negative, zero or positive if the incarnation started at `left` is earlier than, the same as or
+ * later than the one started at `right`. Unknown start times (0) compare equal. */
 int backend_incarnation_order(uint64_t left, uint64_t right);
-/* The same for a backend server of that id, known here or not. */
+/* The same by id and start time, for backends that need not be known here. */
 uint64_t backend_incarnation_hash(str_t id, uint64_t born);
-/* The slots for which it counts in plans: fewer than it has while it names a limit. */
+/* Slots of the backend in region plans: fewer than its capacity while it has a rate limit. */
 double backend_plan_slots(const backend_t *backend);
-/* Estimated requests there, running and queued, from all instances. */
+/* Estimated number of requests at the backend, running and queued, from all instances. */
 double backend_load(const backend_t *backend, uint64_t now_ms);
 void backend_report_load(backend_t *backend, const reported_load_t *load, uint64_t now_ms);
 bool backend_is_cold(const backend_t *backend, uint64_t now_ms);
-/* Cold for `cold_ms` from now on, or longer if it was so already. */
+/* Marks it cold for at least `cold_ms` from now on. */
 void backend_extend_cold(backend_t *backend, uint64_t cold_ms, uint64_t now_ms);
-/* True if it is about to end, as its entry or itself says. */
+/* True if its entry or one of its own answers says that it is shutting down. */
 bool backend_is_leaving(const backend_t *backend);
-/* True if it may get new requests, whatever its load, and paced if it is cold. */
+/* True if it may get new requests. Load and the pacing of cold backends are not considered. */
 bool backend_is_usable(const backend_t *backend, uint64_t now_ms);
-/* An attempt of this instance starts and ends there. */
+/* Count the attempts of this instance. */
 void backend_attempt_started(backend_t *backend);
 void backend_attempt_finished(backend_t *backend);
-/* A usable answer came after `latency_ms`; `queued` tells that all slots were taken when the
- * request was sent. */
+/* A usable answer came after `latency_ms`. `queued` is true if all slots were taken when the
+ * request was sent; its latency is not counted then. */
 void backend_answered(backend_t *backend, double latency_ms, bool queued);
--- a/gateway/state/backends.c
+++ b/gateway/state/backends.c
@@ -10,11 +10,9 @@
 
 enum {
     ITEMS_START = 16,
-    DEFAULT_POOL_MAX =
-        32, /* connections until the service's own bound is known. Chosen, not measured */
+    DEFAULT_POOL_MAX = 32, /* connections until the service's own limit is known */
 };
 
-/* What is looked for in the list. */
 typedef struct {
     const backends_t *backends;
     str_t id;
--- a/gateway/state/catalog.c
+++ b/gateway/state/catalog.c
@@ -10,8 +10,8 @@
 #include "gateway/state/catalog.h"
 #include "wire/client.h"
 
-/* Added to the cold time of a service for backends whose data hall opens again: their own entries
- * tell later that they are cold. Chosen, not measured (docs/design/gateway/cold-start.md). */
+/* Added to a service's cold time for backends of a reopened data hall, until their own entries
+ * report their cold time. */
 enum { REOPEN_MARGIN_MS = 500 };
 
 void
@@ -71,7 +71,7 @@
     return in_part || catalog->refused.revision > 0 || catalog->newer_revision > 0;
 }
 
-/* What was in force before stays. */
+/* Keeps the configuration in force. */
 static void
 refuse_config(catalog_t *catalog, uint64_t revision, const err_t *err)
 {
@@ -117,7 +117,7 @@
         cold_start_begin_unknown(&backend->cold_tokens, now_ms);
 }
 
-/* Its data hall gets requests again; it may have lost its memory meanwhile. */
+/* The backend's data hall is open again. Its caches may be lost, so it counts as cold. */
 static void
 reopen_hall(catalog_t *catalog, backend_t *backend, uint64_t now_ms)
 {
@@ -167,7 +167,7 @@
                  CATALOG_LOG_LINES_MAX);
 }
 
-/* Logs which backends are avoided from now on, and which are no longer. */
+/* Logs changes in which backends are avoided. */
 static void
 log_avoided(catalog_t *catalog, uint64_t now_ms)
 {
--- a/gateway/state/catalog_backends.c
+++ b/gateway/state/catalog_backends.c
@@ -1,11 +1,11 @@
 /*
- * The part of the catalog that keeps the list of backend servers.
+ * Catalog: the list of backend servers.
  *
- * An entry is ordered by the pair of the life that it tells of (`born`) and the store's revision. A
- * newer life ends all that was learned of the one before: it is another backend_t, with connections
- * of its own. An entry that cannot be read names no backend server to use, also under the id of one
- * that is in use: what it said may have been that the server leaves, and a request that is sent
- * elsewhere costs the caller less than one that is sent to a server that has gone.
+ * Entries are ordered by incarnation (`born`), then by the store's revision. A newer incarnation is
+ * a new backend_t with its own connections, and nothing learned of the previous one is kept. An
+ * entry that cannot be read makes the backend under its id unusable: the entry may have announced a
+ * shutdown, and sending requests elsewhere costs the caller less than sending them to a server that
+ * has gone.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -18,13 +18,13 @@
 #include "base/xmalloc.h"
 #include "gateway/state/catalog.h"
 
-/* One change of the list, or one message of departures, while it is taken in. */
+/* State while applying one change of the list or one message of departures. */
 typedef struct {
     catalog_t *catalog;
     uint64_t now_ms;
-    uint64_t list_revision; /* the store's revision that the list leads up to; 0 for departures */
+    uint64_t list_revision; /* store revision of the list; 0 for departures */
     removal_input_t removal;
-    size_t lines; /* that could have been logged */
+    size_t lines; /* counted without regard to the maximum */
 } change_t;
 
 static bool
@@ -37,7 +37,7 @@
 record_departure(change_t *change, const backend_t *backend, bool gone)
 {
     if (change->list_revision == 0)
-        return; /* a peer has told it to all */
+        return; /* a peer has announced it to all instances */
     const departure_t departure = {backend->info.id, change->list_revision, gone, change->now_ms};
     departures_add(&change->catalog->new_departures, &departure);
 }
@@ -70,7 +70,7 @@
                  (long long)change->removal.store.since_failure_ms);
 }
 
-/* The backend is gone from the list. */
+/* The backend is missing from the list. */
 static void
 schedule_removal(change_t *change, backend_t *backend)
 {
@@ -95,7 +95,7 @@
                    by_revision) != NULL;
 }
 
-/* The entry names no backend server; one that had this id gets nothing new. */
+/* The entry cannot be read. A backend with its id gets no new requests. */
 static void
 reject_entry(change_t *change, const view_item_t *item, const err_t *err)
 {
@@ -112,7 +112,7 @@
         remove_with_grace(change, backend, (removal_t){.reason = REMOVAL_UNUSABLE});
 }
 
-/* Takes the backend out whose life has ended; attempts under way keep theirs. */
+/* Removes the backend of an earlier incarnation. Attempts in progress keep their references. */
 static void
 remove_previous_incarnation(change_t *change, const backend_t *backend, const backend_info_t *info)
 {
@@ -122,7 +122,7 @@
     backends_remove(&change->catalog->backends, name_str(&info->id));
 }
 
-/* Adds the backend, or changes the one of that life. */
+/* Adds the backend, or updates the one of the same incarnation. */
 static void
 put_entry(change_t *change, backend_info_t *info, uint64_t revision)
 {
@@ -161,7 +161,7 @@
     }
     backend_t *known = backends_find(&catalog->backends, id);
     if (known != NULL && backend_incarnation_order(info.born, known->info.born) < 0) {
-        known->revision = item->revision; /* news of an earlier life changes nothing */
+        known->revision = item->revision; /* an earlier incarnation; ignored */
         return;
     }
     if (known != NULL && backend_incarnation_order(info.born, known->info.born) > 0)
@@ -169,7 +169,7 @@
     put_entry(change, &info, item->revision);
 }
 
-/* ---- the list ---- */
+/* ---- list ---- */
 
 static bool
 is_gone(const catalog_t *catalog, const view_item_t *item)
@@ -179,7 +179,7 @@
     return departure != NULL && departure->gone;
 }
 
-/* Forgets the unusable entries that are not in the view any more. */
+/* Drops unusable revisions that are no longer in the view. */
 static void
 prune_unusable(catalog_t *catalog, const view_t *view)
 {
@@ -202,9 +202,9 @@
     catalog->unusable_count = count;
 }
 
-/* Walks the view and the backends side by side, both sorted by id: schedules the removal of
- * backends that are gone, and fills `changed` with the indexes in the view of entries that are new
- * or changed; returns their number. */
+/* Merges the view with the list of backends, both sorted by id. Schedules the removal of missing
+ * backends and fills `changed` with the indexes of new or changed entries in the view; returns
+ * their number. */
 static size_t
 diff_backends(change_t *change, const view_t *view, size_t *changed)
 {
--- a/gateway/state/catalog_notices.c
+++ b/gateway/state/catalog_notices.c
@@ -1,5 +1,5 @@
 /*
- * The part of the catalog that takes over what backend servers tell of themselves in their answers.
+ * Catalog: the statements of backend servers about themselves in their answers.
  */
 #include <uv.h>
 
--- a/gateway/state/config_accounts.c
+++ b/gateway/state/config_accounts.c
@@ -6,7 +6,7 @@
 #include "base/search.h"
 #include "base/xmalloc.h"
 
-enum { ACCOUNT_SEED = 13 }; /* any number; the same on every instance */
+enum { ACCOUNT_SEED = 13 }; /* any constant; the same on every instance */
 
 void
 config_add_accounts(config_t *config, size_t account_count, size_t key_count)
--- a/gateway/state/notices.c
+++ b/gateway/state/notices.c
@@ -10,16 +10,15 @@
 
 enum {
     ITEMS_START = 16,
-    /* Above the time for which a list may lack a backend server that is there: an outage of the
-     * store, and a list that is as old as the call for it. */
+    /* Longer than a list may lack a running backend server: an outage of the store plus the age of
+     * a fetched list. */
     RETENTION_MS = 300000,
 };
 
-/* Of a limit: what differs by more is news. A backend server may name another one in each answer.
- */
+/* Relative change above which a limit is published again. A backend server may state another limit
+ * in each answer. */
 #define PUBLISH_THRESHOLD 0.2
 
-/* What is looked for among them. */
 typedef struct {
     const notices_t *notices;
     str_t backend;
@@ -70,8 +69,8 @@
     return &notices->items[index];
 }
 
-/* The entry of that life, made if it is new and there is something to keep; NULL for an earlier
- * life. */
+/* Finds or creates the entry of that incarnation. NULL for an earlier incarnation, or if there is
+ * nothing to store. */
 static notice_t *
 get_entry(notices_t *notices, const notice_t *news)
 {
--- a/gateway/state/notices.h
+++ b/gateway/state/notices.h
@@ -1,69 +1,69 @@
 /*
- * Notices: what backend servers say of themselves in their answers, beside their load: how many
- * requests a second they take, and that they leave.
+ * Notices: what backend servers state about themselves in their answers, apart from their load: a
+ * limit on the request rate, and that they are shutting down.
  *
- * A notice is ordered by when the request was sent whose answer holds it: the backend server cannot
- * have said it earlier. So the answer to a long request that comes late does not undo what a later
- * request was answered. Leaving stays as long as the life of the backend server, whatever the list
- * of the store says.
- * An entry belongs to one life of a backend server; a later life begins without one. It is kept
- * apart from the list of backends, so that it outlives an outage of the store and the taking of a
- * new list, and may come before the backend's entry does.
+ * A notice is ordered by the time at which the answered request was sent, so that a late answer to
+ * a long request does not override a newer statement. The shutdown flag is kept for the rest of the
+ * incarnation, whatever the store's list says.
  *
- * Owns the table, an entry for each backend server that said anything lately. Relies on nothing;
- * time is passed in.
+ * An entry belongs to one incarnation of a backend server. Notices are kept apart from the list of
+ * backends: they survive an outage of the store and a reload of the list, and may arrive before the
+ * backend's entry does.
+ *
+ * Owns the table, with an entry for each backend server that sent a notice lately. Time is passed
+ * in.
  */
 #pragma once
 
 #include "base/str.h"
 
-/* What one answer says. What it gives in a form that cannot be used counts as not there. */
+/* The statements in one answer. Fields that cannot be used count as absent. */
 typedef struct {
     bool has_limit;
-    double limit_per_s; /* requests that it takes from all instances together */
+    double limit_per_s; /* requests a second from all instances together */
     bool leaving;
-    bool asks_rest;    /* it turned the request away and wants none from this instance for a time */
-    uint64_t rest_ms;  /* that time */
-    unsigned unusable; /* fields that cannot be used */
+    bool asks_rest; /* it refused the request and wants none from this instance for rest_ms */
+    uint64_t rest_ms;
+    unsigned unusable; /* number of fields that cannot be used */
 } backend_statement_t;
 
-/* The rate that a backend server takes from all instances together, as it said last. */
+/* The last limit that a backend server stated on the request rate from all instances together. */
 typedef struct {
-    bool is_set;        /* false: none, or it was lifted */
-    double per_s;       /* requests */
-    uint64_t stated_ms; /* loop time from which on it holds; 0: nothing was ever said */
+    bool is_set;        /* false: none, or it was withdrawn */
+    double per_s;       /* requests a second */
+    uint64_t stated_ms; /* loop time since which it holds; 0: never stated */
 } backend_limit_t;
 
 typedef struct {
     name_t backend; /* id */
-    uint64_t born;  /* which life; 0 if it does not say */
+    uint64_t born;  /* start of the incarnation; 0: unknown */
     backend_limit_t limit;
     bool leaving;
-    uint64_t leaving_since_ms;       /* loop time since when that is known to hold */
-    backend_limit_t published_limit; /* the limit as it was last when it was news */
-    bool unpublished;                /* others are to know of that, or that it leaves */
+    uint64_t leaving_since_ms;       /* loop time */
+    backend_limit_t published_limit; /* the limit last published */
+    bool unpublished; /* the limit or the shutdown is to be sent to other instances */
 } notice_t;
 
 typedef struct {
-    notice_t *items; /* sorted by id; an entry moves with the next one that is new */
+    notice_t *items; /* sorted by id; pointers are invalidated by notices_merge() */
     size_t count;
     size_t size;
 } notices_t;
 
-/* What a notice has changed. */
+/* What a merged notice has changed. */
 typedef struct {
-    bool limit;   /* one where there was none or the other way round, or one far from it */
-    bool leaving; /* it leaves from now on */
+    bool limit;   /* set, withdrawn or changed significantly */
+    bool leaving; /* it is shutting down from now on */
 } notice_change_t;
 
-/* NULL if nothing is known of that life. */
+/* Returns NULL if nothing is known of that incarnation. */
 const notice_t *notices_find(const notices_t *notices, str_t backend, uint64_t born);
-/* Takes over what is newer in `news`: its life, its limit if `limit.said_ms` is set, that it
- * leaves. */
+/* Merges the newer parts of `news`: the incarnation, the limit if `limit.stated_ms` is set, the
+ * shutdown. */
 notice_change_t notices_merge(notices_t *notices, const notice_t *news);
-/* Others know: the one of that backend, if there is one, need not be told. */
+/* Marks the backend's entry, if any, as known to other instances. */
 void notices_mark_published(notices_t *notices, str_t backend);
-/* Regular work: forgets what no backend server has said for long. What peers tell is as old as its
- * age, so that they do not remind each other for ever. */
+/* Periodic work: removes entries that no backend server has confirmed for long. Notices from peers
+ * keep their age, so that peers do not refresh each other's entries. */
 void notices_expire(notices_t *notices, uint64_t now_ms);
 void notices_free(notices_t *notices);
--- a/gateway/state/object_rates.c
+++ b/gateway/state/object_rates.c
@@ -2,9 +2,9 @@
 
 #include "gateway/state/object_rates.h"
 
-/* Time constant of the decay, in seconds. Chosen, not measured. */
+/* Time constant of the decay, in seconds. */
 #define DECAY_S 5.0
-/* Counts below this say nothing of the rate. Chosen: chance makes 8 of 3 once in 80 times. */
+/* Counts below this are too small to estimate a rate from. */
 #define COUNT_MIN 8.0F
 #define MS_PER_S 1000.0
 
--- a/gateway/state/permits.h
+++ b/gateway/state/permits.h
@@ -1,9 +1,10 @@
 /*
- * Permits: the token buckets of the backend servers whose limit this instance keeps as their owner.
+ * Permits: token buckets of the backend servers whose rate limit this instance enforces as their
+ * owner.
  *
- * Owns a bucket for each life of a backend server that a permit was asked for lately. It starts
- * empty: the owner before may have given out all. Relies on policy/named_limit.h; time is passed
- * in.
+ * Owns a bucket for each incarnation of a backend server that a permit was requested for lately. A
+ * bucket starts empty, since the previous owner may have granted all tokens. Relies on
+ * policy/named_limit.h; time is passed in.
  */
 #pragma once
 
@@ -13,7 +14,7 @@
 typedef struct {
     uint64_t incarnation; /* from backend_incarnation_hash() */
     bucket_t tokens;
-    uint64_t last_request_ms; /* last time */
+    uint64_t last_request_ms;
 } permit_bucket_t;
 
 typedef struct {
@@ -22,9 +23,9 @@
     size_t size;
 } permits_t;
 
-/* True if a permit is given; else `wait_ms` is the time until there is one. */
+/* True if a permit is granted; otherwise `wait_ms` is the time until the next one. */
 bool permits_take(permits_t *permits, uint64_t life, permit_rate_t rate, uint64_t now_ms,
                   uint32_t *wait_ms);
-/* Regular work: forgets the buckets that nobody asks for. */
+/* Periodic work: removes unused buckets. */
 void permits_expire(permits_t *permits, uint64_t now_ms);
 void permits_free(permits_t *permits);
--- a/gateway/state/route_stats.c
+++ b/gateway/state/route_stats.c
@@ -1,9 +1,9 @@
 #include "gateway/state/latency.h"
 #include "gateway/state/route_stats.h"
 
-/* Weight of a new caller in the moving average of the time left. Chosen, not measured. */
+/* Weight of a new caller in the moving average of the remaining time. */
 #define LEFT_TIME_GAIN 0.02
-/* Step of the median's estimate towards a new value, as a share of it. Chosen, not measured. */
+/* Step of the median estimate towards a new value, as a fraction of it. */
 #define MEDIAN_STEP 0.02
 
 static route_stat_t *
--- a/gateway/state/route_stats.h
+++ b/gateway/state/route_stats.h
@@ -1,22 +1,22 @@
 /*
- * What was measured of each route: the median time of its answers and how long its callers wait.
+ * Route statistics: the median latency of a route's answers, and how long its callers still wait.
  *
- * Owns a table of fixed size, indexed by a hash of the route: of two routes with the same slot the
- * one used last is kept. Relies on nothing; slow.h and admission.h use the figures.
+ * Owns a hash table of fixed size, indexed by the route's key. On a collision the route used last
+ * replaces the other. slow.h and admission.h use the figures.
  */
 #pragma once
 
 #include <stdint.h>
 
-/* Of 10,000 routes that are used in turn, about as many as a configuration can hold, three quarters
- * keep their slot (computed). Slots that are not used take no memory but by the page. */
+/* With 10,000 routes in turn, about the maximum of a configuration, three quarters keep their slot.
+ * Unused pages take no memory. */
 enum { ROUTE_STATS_SLOTS = 16384 };
 
 typedef struct {
     uint64_t route_key; /* config_route_t.key */
-    /* Moving average of the time that callers still wait, 0 before the first. */
+    /* Moving average of the time that callers still wait; 0 before the first. */
     double average_left_ms;
-    /* Estimated median time of whole answers, 0 before the first. */
+    /* Estimated median latency of complete answers; 0 before the first. */
     double median_ms;
 } route_stat_t;
 
@@ -24,7 +24,7 @@
     route_stat_t slots[ROUTE_STATS_SLOTS];
 } route_stats_t;
 
-/* Estimated median time of the route's answers in milliseconds, 0 before the first. */
+/* Estimated median latency of the route's answers in milliseconds; 0 before the first. */
 double route_stats_median_ms(const route_stats_t *stats, uint64_t route_key);
 void route_stats_count_answer(route_stats_t *stats, uint64_t route_key, double latency_ms);
 /* Counts a caller that still waits for `left_ms`; returns the average in milliseconds. */
--- a/gateway/state/services.c
+++ b/gateway/state/services.c
@@ -7,10 +7,10 @@
 
 enum {
     ITEMS_START = 16,
-    DEMAND_TAU_MS = 2000, /* time constant of the demand's average. Chosen, not measured */
+    DEMAND_TAU_MS = 2000, /* time constant of the moving average of the demand */
 };
 
-/* Weight of a new answer in the moving average of latencies. Chosen, not measured. */
+/* Weight of a new answer in the moving average of latencies. */
 #define LATENCY_GAIN 0.05
 
 /* Index of the first service whose name is not below `name`. */
--- a/gateway/state/services.h
+++ b/gateway/state/services.h
@@ -1,7 +1,7 @@
 /*
- * What is kept for each service: its region plan, retry budget and measured demand.
+ * Services: the region plan, retry budget and measured demand of each service.
  *
- * Owns the table of services; entries are never removed, so that requests under way may point to
+ * Owns the table of services; entries are never removed, so that requests in progress may point to
  * them. Relies on the policies for the rules; time is passed in.
  */
 #pragma once
@@ -14,31 +14,31 @@
     name_t name;
     region_plan_t plan;
     retry_budget_t retries;
-    uint32_t in_flight; /* attempts of this instance's callers */
-    double demand;      /* slots: moving average of in_flight and of what was refused */
-    uint64_t demand_ms; /* when the average was brought up to date */
-    double latency_ms;  /* moving average of whole answers, 0 before the first */
+    uint32_t in_flight; /* attempts for this instance's callers */
+    double demand;      /* slots: moving average of in_flight and of refused requests */
+    uint64_t demand_ms; /* last update of the average */
+    double latency_ms;  /* moving average over complete answers; 0 before the first */
 } service_t;
 
 typedef struct {
-    service_t **items; /* sorted by name; a service never moves */
+    service_t **items; /* sorted by name; pointers stay valid */
     size_t count;
     size_t size;
     size_t own_region;
 } services_t;
 
-/* NULL if there is none of that name. The table owns what is returned. */
+/* Returns NULL if there is none of that name. The table owns the result. */
 service_t *services_find(const services_t *services, str_t name);
-/* The same, made if it is new; the name must be a valid one (name_set). Their number is bounded by
- * the bytes of the configurations alone. */
+/* Finds or creates a service; the name must be valid (name_set). Their number is bounded only by
+ * the size of the configurations. */
 service_t *services_get(services_t *services, str_t name);
 void services_free(services_t *services);
 
-/* Brings the moving average of the demand up to date. */
+/* Updates the moving average of the demand. */
 void service_update_demand(service_t *service, uint64_t now_ms);
 void service_attempt_started(service_t *service, uint64_t now_ms);
 void service_attempt_finished(service_t *service, uint64_t now_ms);
-/* A whole answer came after `latency_ms`. */
+/* A complete answer came after `latency_ms`. */
 void service_answered(service_t *service, double latency_ms);
-/* A request was not admitted: its demand counts all the same. */
+/* A request was not admitted; it still counts towards the demand. */
 void service_refused(service_t *service, uint64_t now_ms);
--- a/gateway/state/traffic.c
+++ b/gateway/state/traffic.c
@@ -2,9 +2,9 @@
 
 #include "gateway/state/traffic.h"
 
-/* Time constant of the averages, in milliseconds. Chosen, not measured. */
+/* Time constant of the averages, in milliseconds. */
 #define AVERAGE_TAU_MS 2000.0
-/* Bytes of the heads of a request and its answer. Chosen from the users' examples. */
+/* Assumed size of the headers of a request and its answer. */
 enum { HEADER_BYTES = 600 };
 #define MS_PER_S 1000.0
 
--- a/gateway/state/traffic.h
+++ b/gateway/state/traffic.h
@@ -1,8 +1,8 @@
 /*
- * Traffic: the requests that this instance carries, and the bytes they move over its link.
+ * Traffic: the rate of requests of this instance, and the bytes they transfer over its link.
  *
- * Owns two moving averages over about 2 s. Relies on nothing; time is passed in. Heartbeats tell
- * the other instances (naming.h decides by it).
+ * Owns two moving averages over about 2 s, which heartbeats send to the other instances (used by
+ * naming.h). Time is passed in.
  */
 #pragma once
 
@@ -14,10 +14,11 @@
     uint64_t bytes;
     uint64_t updated_ms;
     double requests_per_s;
-    double bytes_per_s; /* one direction: a request and its answer come in and go out once each */
+    double
+        bytes_per_s; /* in one direction; each request and answer is received once and sent once */
 } traffic_t;
 
-/* A request has ended; `bytes` are those of its body and its answer's. */
+/* Counts a completed request; `bytes` are those of its body and the answer's. */
 void traffic_count(traffic_t *traffic, size_t bytes);
-/* Brings the averages up to date. */
+/* Updates the averages. */
 void traffic_update(traffic_t *traffic, uint64_t now_ms);
