--- a/gateway/state/catalog.c
+++ b/gateway/state/catalog.c
@@ -75,8 +75,8 @@
 static void
 refuse_config(catalog_t *catalog, uint64_t revision, const err_t *err)
 {
-    LOG_ERR("configuration not usable: revision=%llu err=%s detail=%s",
-            (unsigned long long)revision, err_name(err->code), err->detail);
+    LOG_ERR("configuration unusable: revision=%llu err=%s detail=%s", (unsigned long long)revision,
+            err_name(err->code), err->detail);
     catalog->refused = (refused_config_t){.revision = revision, .err = *err};
 }
 
@@ -140,7 +140,7 @@
         if (!closed)
             reopen_hall(catalog, backend, now_ms);
         if (changes++ < CATALOG_LOG_LINES_MAX)
-            LOG_INFO("data hall of a backend %s: id=%s hall=%s at=%llu", closed ? "closed" : "open",
+            LOG_INFO("data hall of backend %s: id=%s hall=%s at=%llu", closed ? "closed" : "open",
                      backend->info.id.ptr, backend->info.hall.ptr, (unsigned long long)view->at);
         backend->hall_closed = closed;
     }
@@ -163,7 +163,7 @@
 catalog_log_suppressed(const char *what, size_t changes)
 {
     if (changes > CATALOG_LOG_LINES_MAX)
-        LOG_INFO("more changes at once than lines: of=\"%s\" changes=%zu lines=%d", what, changes,
+        LOG_INFO("log lines suppressed: of=\"%s\" changes=%zu lines=%d", what, changes,
                  CATALOG_LOG_LINES_MAX);
 }
 
--- a/gateway/state/catalog_backends.c
+++ b/gateway/state/catalog_backends.c
@@ -46,7 +46,7 @@
 log_backend(change_t *change, const backend_info_t *info, uint64_t revision, bool is_new)
 {
     if (is_new && may_log(change))
-        LOG_INFO("backend known: id=%s service=%s hall=%s capacity=%u cold_ms=%u leaving=%d",
+        LOG_INFO("backend added: id=%s service=%s hall=%s capacity=%u cold_ms=%u leaving=%d",
                  info->id.ptr, info->service.ptr, info->hall.ptr, info->capacity, info->cold_ms,
                  info->leaving);
     else if (!is_new && may_log(change))
@@ -62,7 +62,7 @@
     backend->remove_at_ms = change->now_ms + removal.grace_ms;
     record_departure(change, backend, true);
     if (may_log(change))
-        LOG_INFO("backend not listed any more: id=%s grace_ms=%llu reason=%s since_return_ms=%lld "
+        LOG_INFO("backend no longer listed: id=%s grace_ms=%llu reason=%s since_return_ms=%lld "
                  "since_failure_ms=%lld",
                  backend->info.id.ptr, (unsigned long long)removal.grace_ms,
                  removal_reason_name(removal.reason),
@@ -101,7 +101,7 @@
 {
     catalog_t *catalog = change->catalog;
     if (may_log(change))
-        LOG_WARN("backend entry not usable: id=%s revision=%llu err=%s detail=%s", item->name,
+        LOG_WARN("backend entry unusable: id=%s revision=%llu err=%s detail=%s", item->name,
                  (unsigned long long)item->revision, err_name(err->code), err->detail);
     catalog->unusable =
         xrealloc(catalog->unusable, (catalog->unusable_count + 1) * sizeof(*catalog->unusable));
--- a/gateway/state/catalog_notices.c
+++ b/gateway/state/catalog_notices.c
@@ -25,10 +25,10 @@
 {
     const unsigned long long age_ms = (unsigned long long)(now_ms - news->limit.stated_ms);
     if (news->limit.is_set)
-        LOG_INFO("backend names a limit: id=%s per_s=%g age_ms=%llu source=%s", news->backend.ptr,
+        LOG_INFO("backend limit set: id=%s per_s=%g age_ms=%llu source=%s", news->backend.ptr,
                  news->limit.per_s, age_ms, source);
     else
-        LOG_INFO("backend lifts its limit: id=%s age_ms=%llu source=%s", news->backend.ptr, age_ms,
+        LOG_INFO("backend limit withdrawn: id=%s age_ms=%llu source=%s", news->backend.ptr, age_ms,
                  source);
 }
 
@@ -54,7 +54,7 @@
     if (change.limit)
         log_limit(news, source_name(source), now_ms);
     if (change.leaving)
-        LOG_INFO("backend says that it leaves: id=%s age_ms=%llu source=%s", news->backend.ptr,
+        LOG_INFO("backend announced shutdown: id=%s age_ms=%llu source=%s", news->backend.ptr,
                  (unsigned long long)(now_ms - news->leaving_since_ms), source_name(source));
 }
 
@@ -79,11 +79,10 @@
 catalog_count_unusable_notice(backend_t *backend, unsigned count)
 {
     counter_add(counter_get("irisstall_notices_unusable_total", NULL,
-                            "Fields of answers in which backend servers tell of themselves, that "
-                            "could not be used."),
+                            "Notice fields in answers of backend servers that could not be used."),
                 count);
     if (backend->logged_unusable)
         return;
     backend->logged_unusable = true;
-    LOG_WARN("notice of a backend not usable: id=%s fields=%u", backend->info.id.ptr, count);
+    LOG_WARN("backend notice unusable: id=%s fields=%u", backend->info.id.ptr, count);
 }
--- a/gateway/state/config_accounts.c
+++ b/gateway/state/config_accounts.c
@@ -79,8 +79,7 @@
     qsort(config->keys, config->key_count, sizeof(*config->keys), compare_hashes);
     for (size_t i = 1; i < config->account_count; i++) {
         if (config->accounts[i].id == config->accounts[i - 1].id) {
-            err_set(err, ERR_INVALID, "two client accounts are one: %s",
-                    config->accounts[i].name.ptr);
+            err_set(err, ERR_INVALID, "duplicate client account: %s", config->accounts[i].name.ptr);
             return false;
         }
     }
@@ -90,7 +89,7 @@
             const config_key_t *other = &config->keys[k - 1];
             if (other->account == key->account || !str_eq(key_text(other), key_text(key)))
                 continue;
-            err_set(err, ERR_INVALID, "client accounts %s and %s have one key",
+            err_set(err, ERR_INVALID, "client accounts %s and %s share a key",
                     config_account(config, other->account)->name.ptr,
                     config_account(config, key->account)->name.ptr);
             return false;
