--- a/gateway/state/account_ledger.c
+++ b/gateway/state/account_ledger.c
@@ -43,7 +43,7 @@
 }
 
 ledger_t *
-ledger_new(const config_account_t *account, uint64_t owner, double room, uint64_t now_ms)
+ledger_new(const config_account_t *account, uint64_t owner, double fill, uint64_t now_ms)
 {
     ledger_t *ledger = xcalloc(1, sizeof(*ledger));
     const double depth = account_share_depth(account->rate_per_s, account->burst);
@@ -55,7 +55,7 @@
     ledger->last_report_ms = now_ms;
     ledger->charged_until_ms = now_ms;
     bucket_init(&ledger->bucket, account->rate_per_s, depth, now_ms);
-    ledger->bucket.tokens = room * depth;
+    ledger->bucket.tokens = fill * depth;
     return ledger;
 }
 
--- a/gateway/state/account_ledger.h
+++ b/gateway/state/account_ledger.h
@@ -130,8 +130,8 @@
     bool has_majority; /* this instance reaches more than half of the known instances */
 } ledger_view_t;
 
-/* `room` is the initial fill level of the bucket, from 0 to 1. */
-ledger_t *ledger_new(const config_account_t *account, uint64_t owner, double room, uint64_t now_ms);
+/* `fill` is the initial fill level of the bucket, from 0 to 1. */
+ledger_t *ledger_new(const config_account_t *account, uint64_t owner, double fill, uint64_t now_ms);
 void ledger_free(ledger_t *ledger);
 /* Applies the account's limit from the current configuration. */
 void ledger_set_limit(ledger_t *ledger, const config_account_t *account, uint64_t now_ms);
