--- a/test/gateway/account_model.c
+++ b/test/gateway/account_model.c
@@ -12,17 +12,17 @@
 enum {
     STEP_MS = 5,
     REGIONS = 3,
-    NEAR_MS = 5, /* one way in a region, with the turns of two loops */
-    FAR_MS = 40, /* between regions */
+    REGION_LATENCY_MS = 5,        /* one way in a region, with the turns of two loops */
+    INTER_REGION_LATENCY_MS = 40, /* between regions */
     REPORT_MS = 50,
     ANSWER_MS = 250,
     AVOID_MS = 2500,
     REVIEW_MS = 1000,
-    LOST_MS = 2000,   /* silence after which a member counts as lost */
-    GOSSIP_MS = 440,  /* between heartbeats */
-    WINDOW_MS = 5000, /* over which operators bound a limit */
-    RING = 16,        /* steps that a message may take */
-    FIRST_MS = 20000, /* instances have run for so long when callers come, unless all start then */
+    UNREACHABLE_MS = 2000, /* silence after which a member counts as lost */
+    GOSSIP_MS = 440,       /* between heartbeats */
+    WINDOW_MS = 5000,      /* over which operators bound a limit */
+    QUEUE_SLOTS = 16,      /* steps that a message may take */
+    WARMUP_MS = 20000, /* instances have run for so long when callers come, unless all start then */
 };
 
 typedef enum { MESSAGE_REPORT, MESSAGE_GRANT, MESSAGE_EXCHANGE, MESSAGE_DEMAND } message_kind_t;
@@ -34,9 +34,9 @@
     uint64_t source;
     ledger_report_t report;
     ledger_grant_t grant;
-    uint64_t in_place_of;
-    bool leaves;
-    uint64_t told_used;
+    uint64_t predecessor;
+    bool leaving;
+    uint64_t acked_used;
     bool is_answer;
     ledger_exchange_t exchange;
     double demand;
@@ -51,22 +51,22 @@
 typedef struct {
     unsigned region;
     bool up;
-    bool still;
-    bool apart; /* on the smaller side of a cut */
-    unsigned lives;
-    unsigned waiting; /* requests that came while it stood still */
+    bool stalled;
+    bool partitioned; /* on the smaller side of a cut */
+    unsigned incarnation;
+    unsigned queued; /* requests that came while it stood still */
     account_uses_t uses;
     ledgers_t ledgers;
     uint64_t report_ms; /* 0: none is due */
     uint64_t reviewed_ms;
-    uint64_t *avoided_until; /* by instance */
-    uint64_t *heard_ms;      /* heartbeats, by instance */
-    bool *refuses;           /* known to have ended, by instance */
-    /* WAY_GOSSIP */
-    event_rate_t asked;
+    uint64_t *avoided_until;   /* by instance */
+    uint64_t *heard_ms;        /* heartbeats, by instance */
+    bool *refuses_connections; /* known to have ended, by instance */
+    /* STRATEGY_GOSSIP */
+    event_rate_t demand_rate;
     double *demand; /* as told, by instance */
-    bucket_t part;
-    uint64_t told_ms;
+    bucket_t bucket;
+    uint64_t last_gossip_ms;
 } node_t;
 
 typedef struct {
@@ -74,7 +74,7 @@
     rng_t rng;
     config_account_t account;
     node_t *nodes;
-    mail_t ring[RING];
+    mail_t ring[QUEUE_SLOTS];
     uint64_t now_ms;
     bucket_t ideal;
     unsigned *admitted; /* by step */
@@ -86,25 +86,27 @@
 /* ---- the way between instances ---- */
 
 static bool
-reaches(const model_t *model, unsigned from, unsigned to)
+can_reach(const model_t *model, unsigned from, unsigned to)
 {
     const node_t *a = &model->nodes[from];
     const node_t *b = &model->nodes[to];
-    return a->up && b->up && a->apart == b->apart;
+    return a->up && b->up && a->partitioned == b->partitioned;
 }
 
-static void note_refused(model_t *model, unsigned self, unsigned other);
+static void mark_refusing(model_t *model, unsigned self, unsigned other);
 
 static void
-post(model_t *model, const message_t *message)
+send_message(model_t *model, const message_t *message)
 {
     const bool near = model->nodes[message->from].region == model->nodes[message->to].region;
-    mail_t *mail = &model->ring[(model->now_ms + (near ? NEAR_MS : FAR_MS)) / STEP_MS % RING];
+    mail_t *mail =
+        &model->ring[(model->now_ms + (near ? REGION_LATENCY_MS : INTER_REGION_LATENCY_MS)) /
+                     STEP_MS % QUEUE_SLOTS];
     if (message->from != message->to)
         model->messages++;
-    note_refused(model, message->from, message->to);
+    mark_refusing(model, message->from, message->to);
     if (mail->count == mail->size) {
-        mail->size = mail->size > 0 ? mail->size * 2 : RING;
+        mail->size = mail->size > 0 ? mail->size * 2 : QUEUE_SLOTS;
         mail->items = xrealloc(mail->items, mail->size * sizeof(*mail->items));
     }
     mail->items[mail->count++] = *message;
@@ -113,21 +115,22 @@
 static uint64_t
 source_of(const model_t *model, unsigned index)
 {
-    return (uint64_t)model->nodes[index].lives << 32U | (index + 1);
+    return (uint64_t)model->nodes[index].incarnation << 32U | (index + 1);
 }
 
 /* ---- owners ---- */
 
 static bool
-seems_alive(const model_t *model, unsigned self, unsigned other)
+is_considered_alive(const model_t *model, unsigned self, unsigned other)
 {
-    return self == other || model->now_ms - model->nodes[self].heard_ms[other] < (uint64_t)LOST_MS;
+    return self == other ||
+           model->now_ms - model->nodes[self].heard_ms[other] < (uint64_t)UNREACHABLE_MS;
 }
 
 /* The order in which instances of a region come to own the account: the first of each region, which
  * are the first to be struck, and then any. */
 static uint64_t
-order_of(const model_t *model, unsigned index)
+owner_order(const model_t *model, unsigned index)
 {
     const uint64_t pair[] = {model->conf.seed, index};
     return index < REGIONS ? 0 : str_hash((str_t){(const char *)pair, sizeof(pair)}, 1) | 1U;
@@ -136,7 +139,7 @@
 /* The owner in a region as `self` sees it, or who comes after that many others; the number of
  * instances if there is none. */
 static unsigned
-owner_in(const model_t *model, unsigned self, unsigned region, unsigned rank)
+region_owner(const model_t *model, unsigned self, unsigned region, unsigned rank)
 {
     const node_t *node = &model->nodes[self];
     uint64_t least = 0;
@@ -144,33 +147,33 @@
     for (unsigned nth = 0; nth <= rank; nth++) {
         unsigned next = model->conf.instances;
         for (unsigned i = region; i < model->conf.instances; i += REGIONS) {
-            const bool fits =
-                node->region != region || (seems_alive(model, self, i) && !node->refuses[i]);
-            const uint64_t order = order_of(model, i);
+            const bool fits = node->region != region || (is_considered_alive(model, self, i) &&
+                                                         !node->refuses_connections[i]);
+            const uint64_t order = owner_order(model, i);
             if (fits && (nth == 0 || order > least) &&
-                (next == model->conf.instances || order < order_of(model, next)))
+                (next == model->conf.instances || order < owner_order(model, next)))
                 next = i;
         }
         if (next == model->conf.instances)
             break;
         best = next;
-        least = order_of(model, next);
+        least = owner_order(model, next);
     }
     return best;
 }
 
 /* The owner of the own region: the first of three that has answered. */
 static unsigned
-owner_of(const model_t *model, unsigned self)
+local_owner(const model_t *model, unsigned self)
 {
     enum { ASKED_MAX = 3 };
     const node_t *node = &model->nodes[self];
     for (unsigned rank = 0; rank < ASKED_MAX; rank++) {
-        const unsigned owner = owner_in(model, self, node->region, rank);
+        const unsigned owner = region_owner(model, self, node->region, rank);
         if (owner < model->conf.instances && model->now_ms >= node->avoided_until[owner])
             return owner;
     }
-    return owner_in(model, self, node->region, 0);
+    return region_owner(model, self, node->region, 0);
 }
 
 static source_state_t
@@ -180,9 +183,9 @@
     const model_t *model = pair[0];
     const unsigned self = (unsigned)((const node_t *)(const void *)pair[1] - model->nodes);
     const unsigned index = (unsigned)(source & 0xffffffffU) - 1;
-    if (model->nodes[self].refuses[index])
+    if (model->nodes[self].refuses_connections[index])
         return SOURCE_ENDED;
-    if (!seems_alive(model, self, index))
+    if (!is_considered_alive(model, self, index))
         return SOURCE_UNREACHABLE;
     return source_of(model, index) == source ? SOURCE_ALIVE : SOURCE_ENDED;
 }
@@ -192,18 +195,19 @@
 {
     const unsigned index = (unsigned)(source & 0xffffffffU) - 1;
     const node_t *node = &model->nodes[self];
-    return source != 0 && !node->refuses[index] &&
-           (model->now_ms < node->avoided_until[index] || !seems_alive(model, self, index));
+    return source != 0 && !node->refuses_connections[index] &&
+           (model->now_ms < node->avoided_until[index] || !is_considered_alive(model, self, index));
 }
 
 /* A process that has ended is known by the connection that its machine refuses. */
 static void
-note_refused(model_t *model, unsigned self, unsigned other)
+mark_refusing(model_t *model, unsigned self, unsigned other)
 {
     node_t *node = &model->nodes[self];
-    if (model->nodes[other].up || model->nodes[other].apart != node->apart || node->refuses[other])
+    if (model->nodes[other].up || model->nodes[other].partitioned != node->partitioned ||
+        node->refuses_connections[other])
         return;
-    node->refuses[other] = true;
+    node->refuses_connections[other] = true;
     node->avoided_until[other] = model->now_ms + AVOID_MS;
     node->reviewed_ms = 0;
     account_use_t *use = account_uses_find(&node->uses, model->account.id);
@@ -220,7 +224,7 @@
     if (use->owner < model->conf.instances && use->owner_unanswered_since_ms != 0 &&
         model->now_ms - use->owner_unanswered_since_ms > ANSWER_MS)
         node->avoided_until[use->owner] = model->now_ms + AVOID_MS;
-    const unsigned owner = owner_of(model, self);
+    const unsigned owner = local_owner(model, self);
     use->report_due = false;
     use->last_report_ms = model->now_ms;
     if (use->owner_unanswered_since_ms == 0 || use->owner != owner)
@@ -230,8 +234,8 @@
                                 .from = self,
                                 .to = (unsigned)use->owner,
                                 .source = source_of(model, self),
-                                .leaves = true};
-        post(model, &left);
+                                .leaving = true};
+        send_message(model, &left);
     }
     use->owner = owner;
     if (use->unanswered_since_ms == 0)
@@ -255,14 +259,15 @@
             },
     };
     if (owner < model->conf.instances)
-        post(model, &message);
+        send_message(model, &message);
 }
 
 static void
-tell_region(model_t *model, unsigned self, ledger_t *ledger, bool all)
+send_grants(model_t *model, unsigned self, ledger_t *ledger, bool all)
 {
     for (unsigned i = 0; i < model->conf.instances; i++) {
-        if (model->nodes[i].region != model->nodes[self].region || !seems_alive(model, self, i) ||
+        if (model->nodes[i].region != model->nodes[self].region ||
+            !is_considered_alive(model, self, i) ||
             (!all && ledger_has_reporter(ledger, source_of(model, i))))
             continue;
         const message_t message = {
@@ -270,10 +275,10 @@
             .from = self,
             .to = i,
             .source = source_of(model, self),
-            .in_place_of = ledger_predecessor(ledger),
+            .predecessor = ledger_predecessor(ledger),
             .grant = ledger_grant(ledger, source_of(model, i), model->now_ms),
         };
-        post(model, &message);
+        send_message(model, &message);
     }
 }
 
@@ -281,7 +286,7 @@
 on_report(model_t *model, const message_t *message)
 {
     node_t *node = &model->nodes[message->to];
-    if (message->leaves) {
+    if (message->leaving) {
         ledger_t *left = ledgers_find(&node->ledgers, model->account.id);
         if (left != NULL)
             ledger_remove_reporter(left, message->source);
@@ -292,17 +297,17 @@
     const uint64_t before = ledger_predecessor(ledger);
     ledger_report(ledger, message->source, &message->report, model->now_ms);
     if (ledger_update_limited(ledger, model->now_ms) || ledger_predecessor(ledger) != before)
-        tell_region(model, message->to, ledger, true);
+        send_grants(model, message->to, ledger, true);
     const message_t answer = {
         .kind = MESSAGE_GRANT,
         .from = message->to,
         .to = message->from,
         .source = source_of(model, message->to),
         .grant = ledger_grant(ledger, message->source, model->now_ms),
-        .told_used = message->report.used,
+        .acked_used = message->report.used,
         .is_answer = true,
     };
-    post(model, &answer);
+    send_message(model, &answer);
 }
 
 static void
@@ -314,8 +319,8 @@
         use = account_uses_get(&node->uses, &model->account, model->now_ms);
         use->owner = message->from;
     }
-    if (use != NULL && message->in_place_of != 0 && use->owner != message->from &&
-        source_of(model, (unsigned)use->owner) == message->in_place_of) {
+    if (use != NULL && message->predecessor != 0 && use->owner != message->from &&
+        source_of(model, (unsigned)use->owner) == message->predecessor) {
         node->avoided_until[use->owner] = model->now_ms + AVOID_MS;
         use->report_due = true;
         node->report_ms = model->now_ms;
@@ -323,7 +328,7 @@
     if (use == NULL || use->owner != message->from)
         return;
     if (message->is_answer) {
-        use->acked_used = message->told_used;
+        use->acked_used = message->acked_used;
         use->unanswered_since_ms = 0;
         use->owner_unanswered_since_ms = 0;
     }
@@ -340,14 +345,14 @@
 on_exchange(model_t *model, const message_t *message)
 {
     node_t *node = &model->nodes[message->to];
-    const unsigned owner = owner_of(model, message->to);
+    const unsigned owner = local_owner(model, message->to);
     if (ledgers_find(&node->ledgers, model->account.id) == NULL && owner != message->to) {
         message_t passed_on = *message;
         passed_on.to = owner;
         if (!message->is_answer && owner < model->conf.instances) {
             passed_on.is_answer = true; /* once */
             passed_on.from = message->to;
-            post(model, &passed_on);
+            send_message(model, &passed_on);
         }
         return;
     }
@@ -374,17 +379,17 @@
                 continue;
             heard = true;
             message.to = ledger->peers[i].addr.v4.sin_port;
-            post(model, &message);
+            send_message(model, &message);
         }
-        message.to =
-            region == node->region ? owner_of(model, self) : owner_in(model, self, region, rank);
+        message.to = region == node->region ? local_owner(model, self)
+                                            : region_owner(model, self, region, rank);
         if (!heard && message.to < model->conf.instances && message.to != self)
-            post(model, &message);
+            send_message(model, &message);
     }
 }
 
 static void
-work_as_owner(model_t *model, unsigned self)
+run_owner(model_t *model, unsigned self)
 {
     node_t *node = &model->nodes[self];
     ledger_t *ledger = ledgers_find(&node->ledgers, model->account.id);
@@ -392,27 +397,27 @@
     if (ledger == NULL)
         return;
     if (ledger->limited && ledger_update_limited(ledger, model->now_ms))
-        tell_region(model, self, ledger, true);
+        send_grants(model, self, ledger, true);
     if (ledger_exchange_is_due(ledger, model->now_ms))
         send_exchange(model, self, ledger, false);
     if (model->now_ms - node->reviewed_ms < REVIEW_MS)
         return;
     node->reviewed_ms = model->now_ms;
-    if (owner_of(model, self) != self && ledger_has_no_reporters(ledger, model->now_ms)) {
+    if (local_owner(model, self) != self && ledger_has_no_reporters(ledger, model->now_ms)) {
         send_exchange(model, self, ledger, true);
         ledgers_remove(&node->ledgers, ledger);
         return;
     }
     unsigned living = 0;
     for (unsigned i = node->region; i < model->conf.instances; i += REGIONS)
-        living += seems_alive(model, self, i);
+        living += is_considered_alive(model, self, i);
     const ledger_view_t view = {state_of, pair, 2 * living * REGIONS > model->conf.instances};
     ledger_set_limit(ledger, &model->account, model->now_ms);
     ledger_expire_leases(ledger, &view, model->now_ms);
     if (ledger_update_limited(ledger, model->now_ms))
-        tell_region(model, self, ledger, true);
+        send_grants(model, self, ledger, true);
     else if (ledger->limited)
-        tell_region(model, self, ledger, false);
+        send_grants(model, self, ledger, false);
 }
 
 static void
@@ -433,10 +438,10 @@
 /* ---- parts by demand, gossiped ---- */
 
 static double
-part_of(const model_t *model, unsigned self)
+demand_fraction(const model_t *model, unsigned self)
 {
     const node_t *node = &model->nodes[self];
-    const double own = event_rate_per_s(&node->asked, 2000, model->now_ms) + 0.05;
+    const double own = event_rate_per_s(&node->demand_rate, 2000, model->now_ms) + 0.05;
     double all = own;
     for (unsigned i = 0; i < model->conf.instances; i++)
         all += i != self ? node->demand[i] : 0;
@@ -444,19 +449,19 @@
 }
 
 static void
-tell_demand(model_t *model, unsigned self)
+gossip_demand(model_t *model, unsigned self)
 {
     node_t *node = &model->nodes[self];
-    node->told_ms = model->now_ms;
+    node->last_gossip_ms = model->now_ms;
     for (unsigned i = 0; i < model->conf.instances; i++) {
         const message_t message = {
             .kind = MESSAGE_DEMAND,
             .from = self,
             .to = i,
-            .demand = event_rate_per_s(&node->asked, 2000, model->now_ms) + 0.05,
+            .demand = event_rate_per_s(&node->demand_rate, 2000, model->now_ms) + 0.05,
         };
         if (i != self)
-            post(model, &message);
+            send_message(model, &message);
     }
 }
 
@@ -464,14 +469,14 @@
 gossip_admits(model_t *model, unsigned self)
 {
     node_t *node = &model->nodes[self];
-    const double part = part_of(model, self);
-    event_rate_add(&node->asked, 1, 2000, model->now_ms);
-    bucket_set_rate(&node->part, part * model->account.rate_per_s,
-                    fmax(1, part * model->account.burst), model->now_ms);
-    if (bucket_take(&node->part, 1, model->now_ms))
+    const double fraction = demand_fraction(model, self);
+    event_rate_add(&node->demand_rate, 1, 2000, model->now_ms);
+    bucket_set_rate(&node->bucket, fraction * model->account.rate_per_s,
+                    fmax(1, fraction * model->account.burst), model->now_ms);
+    if (bucket_take(&node->bucket, 1, model->now_ms))
         return true;
-    if (model->now_ms - node->told_ms >= REPORT_MS)
-        tell_demand(model, self);
+    if (model->now_ms - node->last_gossip_ms >= REPORT_MS)
+        gossip_demand(model, self);
     return false;
 }
 
@@ -483,13 +488,13 @@
     node_t *node = &model->nodes[self];
     uint32_t retry_after_ms;
     account_use_t *use;
-    if (model->conf.way == WAY_EVEN) {
-        const double part = 1.0 / model->conf.instances;
-        bucket_set_rate(&node->part, part * model->account.rate_per_s,
-                        fmax(1, part * model->account.burst), model->now_ms);
-        return bucket_take(&node->part, 1, model->now_ms);
+    if (model->conf.strategy == STRATEGY_EVEN) {
+        const double fraction = 1.0 / model->conf.instances;
+        bucket_set_rate(&node->bucket, fraction * model->account.rate_per_s,
+                        fmax(1, fraction * model->account.burst), model->now_ms);
+        return bucket_take(&node->bucket, 1, model->now_ms);
     }
-    if (model->conf.way == WAY_GOSSIP)
+    if (model->conf.strategy == STRATEGY_GOSSIP)
         return gossip_admits(model, self);
     node->uses.instances = model->conf.instances;
     const bool admitted =
@@ -501,10 +506,10 @@
 }
 
 static void
-arrive(model_t *model, unsigned self)
+handle_request(model_t *model, unsigned self)
 {
     const bool admitted = admits(model, self);
-    model->result.asked++;
+    model->result.requested++;
     model->result.ideal += bucket_take(&model->ideal, 1, model->now_ms);
     model->result.admitted += admitted;
     model->admitted[model->now_ms / STEP_MS] += admitted;
@@ -512,7 +517,7 @@
 
 /* An instance that gets callers and is up; the number of instances if there is none. */
 static unsigned
-draw_instance(model_t *model)
+random_instance(model_t *model)
 {
     for (unsigned tries = 0; tries < 64; tries++) {
         const unsigned i = (unsigned)rng_below(&model->rng, model->conf.instances);
@@ -538,19 +543,19 @@
 }
 
 static void
-take_requests(model_t *model)
+generate_requests(model_t *model)
 {
-    const double times = model->event.surge > 0 ? model->event.surge : 1;
-    const double per_s = model->conf.rate_per_s * model->conf.usual * times;
+    const double load_factor = model->event.surge > 0 ? model->event.surge : 1;
+    const double per_s = model->conf.rate_per_s * model->conf.base_load * load_factor;
     unsigned count = poisson(&model->rng, per_s * STEP_MS / 1000);
     while (count-- > 0) {
-        const unsigned to = draw_instance(model);
+        const unsigned to = random_instance(model);
         if (to == model->conf.instances)
             continue;
-        if (model->nodes[to].still)
-            model->nodes[to].waiting++;
+        if (model->nodes[to].stalled)
+            model->nodes[to].queued++;
         else
-            arrive(model, to);
+            handle_request(model, to);
     }
 }
 
@@ -562,36 +567,36 @@
     node_t *node = &model->nodes[index];
     account_uses_free(&node->uses);
     ledgers_free(&node->ledgers);
-    node->lives++;
+    node->incarnation++;
     node->ledgers.started_ms = model->now_ms;
     node->ledgers.source = source_of(model, index);
     node->report_ms = 0;
-    bucket_init(&node->part, 0, 1, model->now_ms);
+    bucket_init(&node->bucket, 0, 1, model->now_ms);
     memset(node->avoided_until, 0, model->conf.instances * sizeof(*node->avoided_until));
     for (unsigned i = 0; i < model->conf.instances; i++)
         node->heard_ms[i] = model->now_ms;
 }
 
 static bool
-is_struck(const model_t *model, unsigned index, double part)
+is_affected(const model_t *model, unsigned index, double fraction)
 {
     /* The same ones for an event, in each region: the owners are among them. */
     const unsigned rank = index / REGIONS;
-    return rank < part * model->conf.instances / REGIONS;
+    return rank < fraction * model->conf.instances / REGIONS;
 }
 
 static void
 apply_event(model_t *model)
 {
     model_event_t event = {0};
-    const uint64_t at_ms = model->now_ms - FIRST_MS;
+    const uint64_t at_ms = model->now_ms - WARMUP_MS;
     for (size_t i = 0; i < model->conf.event_count; i++) {
         const model_event_t *next = &model->conf.events[i];
         if (at_ms >= next->from_ms && at_ms < next->to_ms) {
             event.surge = next->surge > 0 ? next->surge : event.surge;
-            event.cut = next->cut > 0 ? next->cut : event.cut;
+            event.partitioned = next->partitioned > 0 ? next->partitioned : event.partitioned;
             event.killed = next->killed > 0 ? next->killed : event.killed;
-            event.still = next->still > 0 ? next->still : event.still;
+            event.stalled = next->stalled > 0 ? next->stalled : event.stalled;
             event.new_limit = next->new_limit > 0 ? next->new_limit : event.new_limit;
             event.moved |= next->moved;
         }
@@ -604,48 +609,49 @@
                     model->now_ms);
     for (unsigned i = 0; i < model->conf.instances; i++) {
         node_t *node = &model->nodes[i];
-        const bool up = !is_struck(model, i, event.killed);
-        const bool still = is_struck(model, i, event.still);
+        const bool up = !is_affected(model, i, event.killed);
+        const bool still = is_affected(model, i, event.stalled);
         if (up && !node->up)
             start_node(model, i);
         node->up = up;
-        node->apart = is_struck(model, i, event.cut);
-        while (node->still && !still && node->waiting > 0) {
-            node->waiting--;
-            arrive(model, i);
+        node->partitioned = is_affected(model, i, event.partitioned);
+        while (node->stalled && !still && node->queued > 0) {
+            node->queued--;
+            handle_request(model, i);
         }
-        node->still = still;
+        node->stalled = still;
     }
 }
 
 static void
-beat(model_t *model)
+exchange_heartbeats(model_t *model)
 {
     for (unsigned i = 0; i < model->conf.instances; i++) {
         for (unsigned k = 0; k < model->conf.instances; k++) {
             node_t *node = &model->nodes[i];
-            if (reaches(model, k, i) && !model->nodes[k].still) {
+            if (can_reach(model, k, i) && !model->nodes[k].stalled) {
                 node->heard_ms[k] = model->now_ms;
-                if (node->refuses[k])
+                if (node->refuses_connections[k])
                     node->avoided_until[k] = 0;
-                node->refuses[k] = false;
+                node->refuses_connections[k] = false;
             } else {
-                note_refused(model, i, k);
+                mark_refusing(model, i, k);
             }
         }
-        if (model->conf.way == WAY_GOSSIP && model->nodes[i].up && !model->nodes[i].still)
-            tell_demand(model, i);
+        if (model->conf.strategy == STRATEGY_GOSSIP && model->nodes[i].up &&
+            !model->nodes[i].stalled)
+            gossip_demand(model, i);
     }
 }
 
 static void
 deliver(model_t *model)
 {
-    mail_t mail = model->ring[model->now_ms / STEP_MS % RING];
-    model->ring[model->now_ms / STEP_MS % RING] = (mail_t){0};
+    mail_t mail = model->ring[model->now_ms / STEP_MS % QUEUE_SLOTS];
+    model->ring[model->now_ms / STEP_MS % QUEUE_SLOTS] = (mail_t){0};
     for (size_t i = 0; i < mail.count; i++) {
         const message_t *message = &mail.items[i];
-        if (!reaches(model, message->from, message->to) || model->nodes[message->to].still)
+        if (!can_reach(model, message->from, message->to) || model->nodes[message->to].stalled)
             continue;
         switch (message->kind) {
         case MESSAGE_REPORT:
@@ -671,20 +677,21 @@
     apply_event(model);
     deliver(model);
     if (model->now_ms % GOSSIP_MS < STEP_MS)
-        beat(model);
+        exchange_heartbeats(model);
     for (unsigned i = 0; i < model->conf.instances; i++) {
-        if (!model->nodes[i].up || model->nodes[i].still || model->conf.way != WAY_OWNERS)
+        if (!model->nodes[i].up || model->nodes[i].stalled ||
+            model->conf.strategy != STRATEGY_OWNERS)
             continue;
         report_if_due(model, i);
         if (model->now_ms % REPORT_MS < STEP_MS)
-            work_as_owner(model, i);
+            run_owner(model, i);
     }
-    take_requests(model);
+    generate_requests(model);
 }
 
 /* What the rule of the operators bounds, with the highest limit in force during the window. */
 static void
-judge_windows(model_t *model)
+measure_windows(model_t *model)
 {
     const size_t steps = model->conf.length_ms / STEP_MS;
     const size_t width = WINDOW_MS / STEP_MS;
@@ -704,12 +711,12 @@
 model_result_t
 model_run(const model_conf_t *conf)
 {
-    model_t model = {.conf = *conf, .rng = {conf->seed}, .now_ms = FIRST_MS};
+    model_t model = {.conf = *conf, .rng = {conf->seed}, .now_ms = WARMUP_MS};
     model.account =
         (config_account_t){.id = 7, .rate_per_s = conf->rate_per_s, .burst = conf->burst};
     name_set(&model.account.name, STR("acme"));
     model.nodes = xcalloc(conf->instances, sizeof(*model.nodes));
-    model.admitted = xcalloc((FIRST_MS + conf->length_ms) / STEP_MS + 1, sizeof(*model.admitted));
+    model.admitted = xcalloc((WARMUP_MS + conf->length_ms) / STEP_MS + 1, sizeof(*model.admitted));
     bucket_init(&model.ideal, conf->rate_per_s, fmax(1, conf->burst), 0);
     for (unsigned i = 0; i < conf->instances; i++) {
         model.nodes[i].region = i % REGIONS;
@@ -717,16 +724,16 @@
         model.nodes[i].avoided_until = xcalloc(conf->instances, sizeof(uint64_t));
         model.nodes[i].heard_ms = xcalloc(conf->instances, sizeof(uint64_t));
         model.nodes[i].demand = xcalloc(conf->instances, sizeof(double));
-        model.nodes[i].refuses = xcalloc(conf->instances, sizeof(bool));
+        model.nodes[i].refuses_connections = xcalloc(conf->instances, sizeof(bool));
         start_node(&model, i);
         if (!conf->cold_start)
             model.nodes[i].ledgers.started_ms = 0;
     }
-    for (; model.now_ms < FIRST_MS + conf->length_ms; model.now_ms += STEP_MS)
+    for (; model.now_ms < WARMUP_MS + conf->length_ms; model.now_ms += STEP_MS)
         step(&model);
-    memmove(model.admitted, model.admitted + FIRST_MS / STEP_MS,
+    memmove(model.admitted, model.admitted + WARMUP_MS / STEP_MS,
             conf->length_ms / STEP_MS * sizeof(*model.admitted));
-    judge_windows(&model);
+    measure_windows(&model);
     model.result.messages_per_s = (double)model.messages * 1000 / (double)conf->length_ms;
     for (unsigned i = 0; i < conf->instances; i++) {
         account_uses_free(&model.nodes[i].uses);
@@ -734,9 +741,9 @@
         free(model.nodes[i].avoided_until);
         free(model.nodes[i].heard_ms);
         free(model.nodes[i].demand);
-        free(model.nodes[i].refuses);
+        free(model.nodes[i].refuses_connections);
     }
-    for (size_t i = 0; i < RING; i++)
+    for (size_t i = 0; i < QUEUE_SLOTS; i++)
         free(model.ring[i].items);
     free(model.nodes);
     free(model.admitted);
@@ -744,7 +751,7 @@
 }
 
 double
-model_short(const model_result_t *result)
+model_refused_below_limit(const model_result_t *result)
 {
     const double missing = (double)result->ideal - result->admitted;
     return missing > 0 ? missing / result->ideal : 0;
--- a/test/gateway/test_account_model.c
+++ b/test/gateway/test_account_model.c
@@ -16,27 +16,27 @@
 enum { SEEDS = 3, EVENTS_MAX = 3 };
 
 /* Below the limit at most this part may be refused: chance makes pairs and triples of requests. */
-#define SHORT_MAX 0.01
+#define REFUSED_MAX 0.01
 /* While instances are dead, and their callers come to others, as well. */
-#define SHORT_TROUBLED_MAX 0.10
+#define REFUSED_DEGRADED_MAX 0.10
 
 typedef struct {
     const char *name;
     model_event_t events[EVENTS_MAX];
     size_t event_count;
     bool cold_start;
-    double short_max; /* 0: not judged: the account is beyond its limit, or cannot be told from one
-                         that is, in the other part of a cut fleet */
+    double refused_max; /* 0: not judged: the account is beyond its limit, or cannot be told from
+                         one that is, in the other part of a cut fleet */
 } scenario_t;
 
 static const scenario_t scenarios[] = {
-    {"usual", {{0}}, 0, false, SHORT_MAX},
-    {"usual, all start", {{0}}, 0, true, SHORT_MAX},
+    {"usual", {{0}}, 0, false, REFUSED_MAX},
+    {"usual, all start", {{0}}, 0, true, REFUSED_MAX},
     {"callers move to another region",
      {{.from_ms = 8000, .to_ms = 14000, .moved = true}},
      1,
      false,
-     SHORT_MAX},
+     REFUSED_MAX},
     {"surge", {{.from_ms = 6000, .to_ms = 13000, .surge = 7.5}}, 1, false, 0},
     {"surge, callers move",
      {{.from_ms = 6000, .to_ms = 14000, .surge = 7.5},
@@ -44,22 +44,22 @@
      2,
      false,
      0},
-    {"a sixth cut off", {{.from_ms = 6000, .to_ms = 12000, .cut = 0.17}}, 1, false, 0},
-    {"half cut off", {{.from_ms = 6000, .to_ms = 12000, .cut = 0.5}}, 1, false, 0},
+    {"a sixth cut off", {{.from_ms = 6000, .to_ms = 12000, .partitioned = 0.17}}, 1, false, 0},
+    {"half cut off", {{.from_ms = 6000, .to_ms = 12000, .partitioned = 0.5}}, 1, false, 0},
     {"three fifths restart",
      {{.from_ms = 8000, .to_ms = 10000, .killed = 0.6}},
      1,
      false,
-     SHORT_TROUBLED_MAX},
+     REFUSED_DEGRADED_MAX},
     {"a sixth cut off in a surge",
      {{.from_ms = 5000, .to_ms = 14000, .surge = 7.5},
-      {.from_ms = 8000, .to_ms = 12000, .cut = 0.17}},
+      {.from_ms = 8000, .to_ms = 12000, .partitioned = 0.17}},
      2,
      false,
      0},
     {"surge as half is cut off",
      {{.from_ms = 6000, .to_ms = 14000, .surge = 7.5},
-      {.from_ms = 6000, .to_ms = 12000, .cut = 0.5}},
+      {.from_ms = 6000, .to_ms = 12000, .partitioned = 0.5}},
      2,
      false,
      0},
@@ -77,7 +77,7 @@
      0},
     {"a fifth stands still",
      {{.from_ms = 5000, .to_ms = 14000, .surge = 7.5},
-      {.from_ms = 8000, .to_ms = 10500, .still = 0.2}},
+      {.from_ms = 8000, .to_ms = 10500, .stalled = 0.2}},
      2,
      false,
      0},
@@ -96,16 +96,17 @@
 };
 
 static model_conf_t
-conf_of(const scenario_t *scenario, const fleet_t *fleet, model_way_t way, uint64_t seed)
+make_conf(const scenario_t *scenario, const fleet_t *fleet, model_strategy_t strategy,
+          uint64_t seed)
 {
     return (model_conf_t){
-        .way = way,
+        .strategy = strategy,
         .instances = fleet->instances,
         .spread = fleet->spread,
         .rate_per_s = fleet->rate_per_s,
         .burst = fleet->burst,
         .cold_start = scenario->cold_start,
-        .usual = 1 / 1.6,
+        .base_load = 1 / 1.6,
         .length_ms = 18000,
         .seed = seed,
         .events = scenario->events,
@@ -114,24 +115,24 @@
 }
 
 static void
-print_row(const scenario_t *scenario, const fleet_t *fleet, model_way_t way)
+print_row(const scenario_t *scenario, const fleet_t *fleet, model_strategy_t strategy)
 {
-    static const char *const ways[] = {"even", "gossip", "owners"};
+    static const char *const strategies[] = {"even", "gossip", "owners"};
     double excess = -1e9;
-    double missing = 0;
+    double refused = 0;
     double messages = 0;
     double bound = 0;
     for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-        const model_conf_t conf = conf_of(scenario, fleet, way, seed);
+        const model_conf_t conf = make_conf(scenario, fleet, strategy, seed);
         const model_result_t result = model_run(&conf);
         excess = result.window_excess > excess ? result.window_excess : excess;
-        missing += model_short(&result) / SEEDS;
+        refused += model_refused_below_limit(&result) / SEEDS;
         messages += result.messages_per_s / SEEDS;
         bound = result.window_bound;
     }
     printf("| %s | %u/%u | %.0f | %s | %.0f of %.0f | %.1f%% | %.0f |\n", scenario->name,
-           fleet->instances, fleet->spread, fleet->rate_per_s, ways[way], excess, bound,
-           100 * missing, messages);
+           fleet->instances, fleet->spread, fleet->rate_per_s, strategies[strategy], excess, bound,
+           100 * refused, messages);
 }
 
 static void
@@ -139,8 +140,8 @@
 {
     for (size_t i = 0; i < ALEN(scenarios); i++) {
         for (size_t k = 0; k < ALEN(fleets); k++) {
-            for (model_way_t way = WAY_EVEN; way <= WAY_OWNERS; way++)
-                print_row(&scenarios[i], &fleets[k], way);
+            for (model_strategy_t strategy = STRATEGY_EVEN; strategy <= STRATEGY_OWNERS; strategy++)
+                print_row(&scenarios[i], &fleets[k], strategy);
         }
     }
 }
@@ -152,13 +153,14 @@
     size_t scenario;
     size_t fleet;
     uint64_t seed;
-} faults[] = {{8, 7, 6}, {9, 7, 5}, {12, 7, 2}, {7, 5, 2}};
+} known_failures[] = {{8, 7, 6}, {9, 7, 5}, {12, 7, 2}, {7, 5, 2}};
 
 static bool
-is_fault(size_t scenario, size_t fleet, uint64_t seed)
+is_known_failure(size_t scenario, size_t fleet, uint64_t seed)
 {
-    for (size_t i = 0; i < ALEN(faults); i++) {
-        if (faults[i].scenario == scenario && faults[i].fleet == fleet && faults[i].seed == seed)
+    for (size_t i = 0; i < ALEN(known_failures); i++) {
+        if (known_failures[i].scenario == scenario && known_failures[i].fleet == fleet &&
+            known_failures[i].seed == seed)
             return true;
     }
     return false;
@@ -166,27 +168,28 @@
 
 /* What is wrong with a play; false if nothing. */
 static bool
-play(size_t scenario, size_t fleet, uint64_t seed, char *out, size_t size)
+exceeds_bounds(size_t scenario, size_t fleet, uint64_t seed, char *out, size_t size)
 {
-    const model_conf_t conf = conf_of(&scenarios[scenario], &fleets[fleet], WAY_OWNERS, seed);
+    const model_conf_t conf =
+        make_conf(&scenarios[scenario], &fleets[fleet], STRATEGY_OWNERS, seed);
     const model_result_t result = model_run(&conf);
-    const double short_max = scenarios[scenario].short_max;
-    const bool judged = short_max > 0 && fleets[fleet].burst > 0;
-    snprintf(out, size,
-             "%s, %u instances, %.0f/s, seed %u: %.0f beyond of %.0f, %.3f refused below",
-             scenarios[scenario].name, fleets[fleet].instances, fleets[fleet].rate_per_s,
-             (unsigned)seed, result.window_excess, result.window_bound, model_short(&result));
+    const double refused_max = scenarios[scenario].refused_max;
+    const bool is_checked = refused_max > 0 && fleets[fleet].burst > 0;
+    snprintf(
+        out, size, "%s, %u instances, %.0f/s, seed %u: %.0f beyond of %.0f, %.3f refused below",
+        scenarios[scenario].name, fleets[fleet].instances, fleets[fleet].rate_per_s, (unsigned)seed,
+        result.window_excess, result.window_bound, model_refused_below_limit(&result));
     return result.window_excess > result.window_bound ||
-           (judged && model_short(&result) > short_max);
+           (is_checked && model_refused_below_limit(&result) > refused_max);
 }
 
-START_TEST(an_account_is_held_to_its_limit_and_not_below)
+START_TEST(account_limit_is_enforced_without_undue_refusals)
 {
     char text[200];
     for (size_t k = 0; k < ALEN(fleets); k++) {
         for (uint64_t seed = 1; seed <= SEEDS; seed++) {
-            if (!is_fault((size_t)_i, k, seed))
-                ck_assert_msg(!play((size_t)_i, k, seed, text, sizeof(text)), "%s", text);
+            if (!is_known_failure((size_t)_i, k, seed))
+                ck_assert_msg(!exceeds_bounds((size_t)_i, k, seed, text, sizeof(text)), "%s", text);
         }
     }
 }
@@ -196,8 +199,9 @@
 {
     char text[200];
     unsigned broken = 0;
-    for (size_t i = 0; i < ALEN(faults); i++) {
-        if (!play(faults[i].scenario, faults[i].fleet, faults[i].seed, text, sizeof(text)))
+    for (size_t i = 0; i < ALEN(known_failures); i++) {
+        if (!exceeds_bounds(known_failures[i].scenario, known_failures[i].fleet,
+                            known_failures[i].seed, text, sizeof(text)))
             continue;
         printf("%s\n", text);
         broken++;
@@ -214,7 +218,7 @@
     Suite *suite = suite_create("gateway: account model");
     TCase *tests = tcase_create("account model");
     tcase_set_timeout(tests, 60);
-    tcase_add_loop_test(tests, an_account_is_held_to_its_limit_and_not_below, 0,
+    tcase_add_loop_test(tests, account_limit_is_enforced_without_undue_refusals, 0,
                         (int)ALEN(scenarios));
     tcase_add_test(tests, seeds_that_broke_a_limit_keep_it);
     suite_add_tcase(suite, tests);
--- a/test/gateway/test_accounts.c
+++ b/test/gateway/test_accounts.c
@@ -18,15 +18,15 @@
 #include "test/gateway/site.h"
 #include "test/suites.h"
 
-#define TWO_ACCOUNTS                                                                               \
+#define ACCOUNTS_JSON                                                                              \
     "{\"acme\":{\"apiKeys\":[\"k-acme-1\",\"k-acme-2\"],\"priority\":1},"                          \
     "\"bolt\":{\"apiKeys\":[\"k-bolt-1\"],\"ratePerS\":5,\"burst\":5}}"
-#define WITHOUT_FIRST_KEY "{\"acme\":{\"apiKeys\":[\"k-acme-2\"],\"priority\":1}}"
-#define ONE_KEY_TWICE                                                                              \
+#define ACCOUNTS_KEY_REVOKED "{\"acme\":{\"apiKeys\":[\"k-acme-2\"],\"priority\":1}}"
+#define ACCOUNTS_SHARED_KEY                                                                        \
     "{\"acme\":{\"apiKeys\":[\"k-acme-2\"]},\"bolt\":{\"apiKeys\":[\"k-acme-2\"]}}"
 
 static site_t *
-site_with(const char *accounts)
+start_site(const char *accounts)
 {
     site_t *site = new_site(2);
     site->accounts = accounts;
@@ -39,7 +39,7 @@
 
 /* `fields`: header lines, each with its end. */
 static reply_t
-ask_with(site_t *site, const char *path, const char *fields)
+request_with_fields(site_t *site, const char *path, const char *fields)
 {
     static unsigned number;
     char request[4096];
@@ -64,7 +64,7 @@
 }
 
 static void
-forget_requests(site_t *site)
+reset_backends(site_t *site)
 {
     for (size_t i = 0; i < 2; i++) {
         site->backends[i].last[0] = '\0';
@@ -72,12 +72,12 @@
     }
 }
 
-START_TEST(a_key_is_known_and_goes_no_further)
+START_TEST(key_is_resolved_and_not_forwarded)
 {
-    site_t *site = site_with(TWO_ACCOUNTS);
-    forget_requests(site);
-    const reply_t reply =
-        ask_with(site, "/safe/x", "Credential: k-acme-2\r\nTenant: forged\r\ntenant: bolt\r\n");
+    site_t *site = start_site(ACCOUNTS_JSON);
+    reset_backends(site);
+    const reply_t reply = request_with_fields(
+        site, "/safe/x", "Credential: k-acme-2\r\nTenant: forged\r\ntenant: bolt\r\n");
     ck_assert_int_eq(reply.status, 200);
     const char *text = last_request(site);
     ck_assert_ptr_nonnull(strstr(text, "Tenant: acme\r\n"));
@@ -87,7 +87,7 @@
 }
 END_TEST
 
-START_TEST(what_has_no_key_of_an_account_is_denied)
+START_TEST(request_without_valid_key_is_denied)
 {
     char long_key[3000];
     char long_field[3100];
@@ -108,60 +108,61 @@
         "Tenant: acme\r\n",
         long_field,
     };
-    site_t *site = site_with(TWO_ACCOUNTS);
-    forget_requests(site);
+    site_t *site = start_site(ACCOUNTS_JSON);
+    reset_backends(site);
     for (size_t i = 0; i < ALEN(bad); i++) {
-        const reply_t reply = ask_with(site, "/safe/x", bad[i]);
+        const reply_t reply = request_with_fields(site, "/safe/x", bad[i]);
         ck_assert_msg(reply.status == 401, "%s: %d", bad[i], reply.status);
         ck_assert_str_eq(reply.retry_after, "");
     }
     ck_assert_uint_eq(all_runs(site), 0);
     /* The route is looked for first. */
-    ck_assert_int_eq(ask_with(site, "/none/x", "").status, 404);
+    ck_assert_int_eq(request_with_fields(site, "/none/x", "").status, 404);
 }
 END_TEST
 
-START_TEST(a_route_open_to_all_needs_no_key)
+START_TEST(public_route_needs_no_key)
 {
-    site_t *site = site_with(TWO_ACCOUNTS);
-    forget_requests(site);
-    ck_assert_int_eq(ask_with(site, "/open/x", "Tenant: forged\r\n").status, 200);
+    site_t *site = start_site(ACCOUNTS_JSON);
+    reset_backends(site);
+    ck_assert_int_eq(request_with_fields(site, "/open/x", "Tenant: forged\r\n").status, 200);
     ck_assert_ptr_null(strstr(last_request(site), "Tenant:"));
-    forget_requests(site);
-    ck_assert_int_eq(ask_with(site, "/open/x", "Credential: nobody's\r\n").status, 200);
+    reset_backends(site);
+    ck_assert_int_eq(request_with_fields(site, "/open/x", "Credential: nobody's\r\n").status, 200);
     ck_assert_ptr_null(strstr(last_request(site), "nobody"));
-    forget_requests(site);
-    ck_assert_int_eq(ask_with(site, "/open/x", "Credential: k-acme-1\r\n").status, 200);
+    reset_backends(site);
+    ck_assert_int_eq(request_with_fields(site, "/open/x", "Credential: k-acme-1\r\n").status, 200);
     ck_assert_ptr_nonnull(strstr(last_request(site), "Tenant: acme\r\n"));
 }
 END_TEST
 
-START_TEST(without_accounts_nobody_needs_a_key)
+START_TEST(no_key_needed_without_accounts)
 {
-    site_t *site = site_with(NULL);
-    forget_requests(site);
-    ck_assert_int_eq(ask_with(site, "/safe/x", "Credential: k\r\nTenant: t\r\n").status, 200);
+    site_t *site = start_site(NULL);
+    reset_backends(site);
+    ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k\r\nTenant: t\r\n").status,
+                     200);
     ck_assert_ptr_null(strstr(last_request(site), "Credential"));
     ck_assert_ptr_null(strstr(last_request(site), "Tenant"));
 }
 END_TEST
 
-START_TEST(a_key_that_is_taken_away_is_refused)
+START_TEST(revoked_key_is_refused)
 {
-    site_t *site = site_with(TWO_ACCOUNTS);
-    ck_assert_int_eq(ask_with(site, "/safe/x", "Credential: k-acme-1\r\n").status, 200);
-    site->accounts = WITHOUT_FIRST_KEY;
+    site_t *site = start_site(ACCOUNTS_JSON);
+    ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k-acme-1\r\n").status, 200);
+    site->accounts = ACCOUNTS_KEY_REVOKED;
     put_config(site, NULL);
-    RUN_UNTIL(site, ask_with(site, "/safe/x", "Credential: k-acme-1\r\n").status == 401);
-    ck_assert_int_eq(ask_with(site, "/safe/x", "Credential: k-acme-2\r\n").status, 200);
-    ck_assert_int_eq(ask_with(site, "/safe/x", "Credential: k-bolt-1\r\n").status, 401);
+    RUN_UNTIL(site, request_with_fields(site, "/safe/x", "Credential: k-acme-1\r\n").status == 401);
+    ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k-acme-2\r\n").status, 200);
+    ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k-bolt-1\r\n").status, 401);
 }
 END_TEST
 
 /* The news comes from a peer where the store serves one of two only. */
-START_TEST(a_key_is_taken_away_where_the_store_does_not_serve_too)
+START_TEST(revoked_key_is_refused_during_store_outage)
 {
-    site_t *site = site_with(TWO_ACCOUNTS);
+    site_t *site = start_site(ACCOUNTS_JSON);
     gateway_t *first = site->gateway;
     const addr_t dead = site->any; /* port 0: nothing answers */
     platform_store_t *unserved = platform_store_new(&site->loop, &dead);
@@ -169,29 +170,29 @@
     port = platform_store_port(unserved);
     gateway_t *second = start_gateway(site, "g-2", &port, &gateway_settings(first)->peer);
     use_gateway(site, second);
-    RUN_UNTIL(site, ask_with(site, "/safe/x", "Credential: k-acme-1\r\n").status == 200);
-    site->accounts = WITHOUT_FIRST_KEY;
+    RUN_UNTIL(site, request_with_fields(site, "/safe/x", "Credential: k-acme-1\r\n").status == 200);
+    site->accounts = ACCOUNTS_KEY_REVOKED;
     put_config(site, NULL);
-    RUN_UNTIL(site, ask_with(site, "/safe/x", "Credential: k-acme-1\r\n").status == 401);
+    RUN_UNTIL(site, request_with_fields(site, "/safe/x", "Credential: k-acme-1\r\n").status == 401);
 }
 END_TEST
 
-START_TEST(a_configuration_with_one_key_in_two_accounts_is_refused_whole)
+START_TEST(configuration_with_shared_key_is_rejected)
 {
-    site_t *site = site_with(TWO_ACCOUNTS);
-    site->accounts = ONE_KEY_TWICE;
+    site_t *site = start_site(ACCOUNTS_JSON);
+    site->accounts = ACCOUNTS_SHARED_KEY;
     put_config(site, "/new/");
     /* Nothing of it is in force; a request that it may know is told to come back. */
-    RUN_UNTIL(site, ask_with(site, "/new/x", "Credential: k-acme-1\r\n").status == 503);
-    ck_assert_int_eq(ask_with(site, "/safe/x", "Credential: k-acme-1\r\n").status, 200);
-    ck_assert_int_eq(ask_with(site, "/safe/x", "Credential: k-new\r\n").status, 503);
-    site->accounts = TWO_ACCOUNTS;
+    RUN_UNTIL(site, request_with_fields(site, "/new/x", "Credential: k-acme-1\r\n").status == 503);
+    ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k-acme-1\r\n").status, 200);
+    ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k-new\r\n").status, 503);
+    site->accounts = ACCOUNTS_JSON;
     put_config(site, "/new/");
-    RUN_UNTIL(site, ask_with(site, "/new/x", "Credential: k-acme-1\r\n").status == 200);
+    RUN_UNTIL(site, request_with_fields(site, "/new/x", "Credential: k-acme-1\r\n").status == 200);
 }
 END_TEST
 
-START_TEST(accounts_that_cannot_be_read_make_a_configuration_unusable)
+START_TEST(invalid_accounts_make_configuration_unusable)
 {
     const char *const bad[] = {
         "[]",
@@ -217,28 +218,28 @@
 }
 END_TEST
 
-START_TEST(an_account_beyond_its_limit_is_told_when_to_come_back)
+START_TEST(account_over_limit_gets_retry_after)
 {
-    enum { ASKED = 30 };
-    site_t *site = site_with(TWO_ACCOUNTS);
+    enum { REQUESTS = 30 };
+    site_t *site = start_site(ACCOUNTS_JSON);
     unsigned refused = 0;
-    for (int i = 0; i < ASKED; i++) {
-        const reply_t reply = ask_with(site, "/safe/x", "Credential: k-bolt-1\r\n");
+    for (int i = 0; i < REQUESTS; i++) {
+        const reply_t reply = request_with_fields(site, "/safe/x", "Credential: k-bolt-1\r\n");
         ck_assert(reply.status == 200 || reply.status == 429);
         refused += reply.status == 429;
         if (reply.status == 429)
             ck_assert(strtod(reply.retry_after, NULL) >= 0.1);
     }
-    ck_assert_uint_ge(refused, ASKED / 2);
+    ck_assert_uint_ge(refused, REQUESTS / 2);
     /* Another account does not notice. */
-    ck_assert_int_eq(ask_with(site, "/safe/x", "Credential: k-acme-1\r\n").status, 200);
+    ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k-acme-1\r\n").status, 200);
 }
 END_TEST
 
-START_TEST(a_limit_holds_over_instances)
+START_TEST(account_limit_holds_across_instances)
 {
     enum { ROUNDS = 150, EVERY_MS = 20 };
-    site_t *site = site_with(TWO_ACCOUNTS);
+    site_t *site = start_site(ACCOUNTS_JSON);
     gateway_t *first = site->gateway;
     wire_pool_t *callers[2] = {site->callers};
     gateway_t *second =
@@ -252,7 +253,7 @@
         uv_update_time(&site->loop);
         const uint64_t until = uv_now(&site->loop) + EVERY_MS;
         site->callers = callers[i % 2];
-        served += ask_with(site, "/safe/x", "Credential: k-bolt-1\r\n").status == 200;
+        served += request_with_fields(site, "/safe/x", "Credential: k-bolt-1\r\n").status == 200;
         RUN_UNTIL(site, uv_now(&site->loop) >= until);
     }
     /* 3 s or more at 5 a second, a burst of 5, and what operators bear. */
@@ -263,7 +264,7 @@
 END_TEST
 
 /* The whole of what instances write: their log, and the pages that operators see. */
-START_TEST(a_key_is_written_nowhere)
+START_TEST(key_is_never_logged_or_printed)
 {
     static const char *const pages[] = {"/metrics",
                                         "/status",
@@ -277,15 +278,16 @@
     const int fd = mkstemp(path);
     ck_assert_int_ge(fd, 0);
     ck_assert(log_open(path, LOG_LEVEL_DBG, &err));
-    site_t *site = site_with(TWO_ACCOUNTS);
+    site_t *site = start_site(ACCOUNTS_JSON);
     for (int i = 0; i < 20; i++)
-        ask_with(site, "/safe/x", "Credential: k-bolt-1\r\n");
-    ask_with(site, "/safe/x", "Credential: k-wrong-1\r\n");
+        request_with_fields(site, "/safe/x", "Credential: k-bolt-1\r\n");
+    request_with_fields(site, "/safe/x", "Credential: k-wrong-1\r\n");
     site->poison = "/safe/x";
-    ask_with(site, "/safe/x", "Credential: k-acme-1\r\n");
-    site->accounts = ONE_KEY_TWICE;
+    request_with_fields(site, "/safe/x", "Credential: k-acme-1\r\n");
+    site->accounts = ACCOUNTS_SHARED_KEY;
     put_config(site, NULL);
-    RUN_UNTIL(site, ask_with(site, "/safe/y", "Credential: k-wrong-2\r\n").status == 503);
+    RUN_UNTIL(site,
+              request_with_fields(site, "/safe/y", "Credential: k-wrong-2\r\n").status == 503);
     wire_pool_t *callers = site->callers;
     site->callers = wire_pool_new(&site->loop, &gateway_settings(site->gateway)->admin, 10);
     for (size_t i = 0; i < ALEN(pages); i++) {
@@ -312,7 +314,7 @@
 }
 END_TEST
 
-START_TEST(key_verdicts)
+START_TEST(key_check_results)
 {
     static const struct {
         key_input_t input;
@@ -332,24 +334,24 @@
 }
 END_TEST
 
-START_TEST(callers_refused_together_come_back_apart)
+START_TEST(retry_after_is_spread_over_callers)
 {
     account_gate_t gate = {0};
     account_gate_tell(&gate, true, 2, 1000);
     const account_gate_input_t input = {.in_touch = true, .now_ms = 1000};
     ck_assert(!account_gate_admits(&gate, &input));
-    const uint32_t least = account_gate_retry_after_ms(&gate, 0);
-    const uint32_t most = account_gate_retry_after_ms(&gate, 0.99);
-    ck_assert_uint_eq(least, 500); /* one token at two a second */
-    ck_assert_uint_ge(most, 990);
-    const account_gate_input_t later = {.in_touch = true, .now_ms = 1000 + least};
+    const uint32_t min_ms = account_gate_retry_after_ms(&gate, 0);
+    const uint32_t max_ms = account_gate_retry_after_ms(&gate, 0.99);
+    ck_assert_uint_eq(min_ms, 500); /* one token at two a second */
+    ck_assert_uint_ge(max_ms, 990);
+    const account_gate_input_t later = {.in_touch = true, .now_ms = 1000 + min_ms};
     ck_assert(account_gate_admits(&gate, &later));
 }
 END_TEST
 
 /* Half of what it was lent is asked for, and the owner hears nothing: the room falls as if all were
  * spent, and what was not comes back when it is heard. */
-START_TEST(a_silent_instance_is_taken_to_spend_what_it_was_lent)
+START_TEST(silent_instance_is_charged_its_share)
 {
     config_account_t account = {.id = 1, .rate_per_s = 10, .burst = 100};
     ledger_t *ledger = ledger_new(&account, 9, 0.1, 1000);
@@ -373,7 +375,7 @@
 
 /* The owner before fell silent with a full bucket; the first instance that comes brings a small
  * part of the room, and asks for a hundredth of the limit. */
-START_TEST(a_new_owner_does_not_hold_an_account_far_below_its_limit)
+START_TEST(new_owner_does_not_limit_account_far_below_limit)
 {
     config_account_t account = {.id = 1, .rate_per_s = 4000, .burst = 4000};
     ledger_t *ledger = ledger_new(&account, 9, 1, 1000);
@@ -391,16 +393,16 @@
     ck_assert(ledger->bucket.tokens < 100);
     ck_assert(!ledger_update_limited(ledger, 1000));
     /* One that was held to its shares stays so. */
-    ledger_t *held = ledger_new(&account, 9, 1, 1000);
+    ledger_t *limited_ledger = ledger_new(&account, 9, 1, 1000);
     report.tokens = 100;
-    ledger_report(held, 7, &report, 1000);
-    ck_assert(ledger_update_limited(held, 1000) && held->limited);
+    ledger_report(limited_ledger, 7, &report, 1000);
+    ck_assert(ledger_update_limited(limited_ledger, 1000) && limited_ledger->limited);
     ledger_free(ledger);
-    ledger_free(held);
+    ledger_free(limited_ledger);
 }
 END_TEST
 
-START_TEST(what_ran_twice_counts_twice_and_what_did_not_run_not_at_all)
+START_TEST(retries_are_charged_and_unsent_requests_refunded)
 {
     config_account_t account = {.id = 1, .rate_per_s = 10, .burst = 10};
     account_uses_t uses = {.instances = 1};
@@ -425,7 +427,7 @@
 
 /* A member that gives no answer is passed over, one that has ended is none; all instances choose
  * alike. */
-START_TEST(instances_agree_on_the_owner)
+START_TEST(instances_choose_same_owner)
 {
     members_t members = {0};
     for (unsigned i = 0; i < 6; i++) {
@@ -453,7 +455,7 @@
 }
 END_TEST
 
-START_TEST(a_key_is_found_among_thousands)
+START_TEST(key_lookup_among_many_accounts)
 {
     enum { ACCOUNTS = 10000 };
     config_t *config = config_new(0, 0);
@@ -467,7 +469,7 @@
         config_add_key(config, &config->accounts[i], str_from(text));
     }
     ck_assert(config_seal(config, &err));
-    const uint64_t begun_ns = uv_hrtime();
+    const uint64_t start_ns = uv_hrtime();
     for (unsigned i = 0; i < ACCOUNTS; i++) {
         char name[32];
         snprintf(text, sizeof(text), "key-%u", i);
@@ -475,7 +477,7 @@
         ck_assert_str_eq(config_account_of_key(config, str_from(text))->name.ptr, name);
     }
     printf("a look-up among %d keys: %llu ns\n", ACCOUNTS,
-           (unsigned long long)((uv_hrtime() - begun_ns) / ACCOUNTS));
+           (unsigned long long)((uv_hrtime() - start_ns) / ACCOUNTS));
     ck_assert_ptr_null(config_account_of_key(config, STR("key-10000")));
     config_unref(config);
 }
@@ -487,24 +489,24 @@
     Suite *suite = suite_create("gateway: accounts");
     TCase *tests = tcase_create("accounts");
     tcase_set_timeout(tests, 40);
-    tcase_add_test(tests, a_key_is_known_and_goes_no_further);
-    tcase_add_test(tests, what_has_no_key_of_an_account_is_denied);
-    tcase_add_test(tests, a_route_open_to_all_needs_no_key);
-    tcase_add_test(tests, without_accounts_nobody_needs_a_key);
-    tcase_add_test(tests, a_key_that_is_taken_away_is_refused);
-    tcase_add_test(tests, a_key_is_taken_away_where_the_store_does_not_serve_too);
-    tcase_add_test(tests, a_configuration_with_one_key_in_two_accounts_is_refused_whole);
-    tcase_add_test(tests, accounts_that_cannot_be_read_make_a_configuration_unusable);
-    tcase_add_test(tests, an_account_beyond_its_limit_is_told_when_to_come_back);
-    tcase_add_test(tests, a_limit_holds_over_instances);
-    tcase_add_test(tests, a_key_is_written_nowhere);
-    tcase_add_test(tests, key_verdicts);
-    tcase_add_test(tests, callers_refused_together_come_back_apart);
-    tcase_add_test(tests, a_silent_instance_is_taken_to_spend_what_it_was_lent);
-    tcase_add_test(tests, a_new_owner_does_not_hold_an_account_far_below_its_limit);
-    tcase_add_test(tests, what_ran_twice_counts_twice_and_what_did_not_run_not_at_all);
-    tcase_add_test(tests, instances_agree_on_the_owner);
-    tcase_add_test(tests, a_key_is_found_among_thousands);
+    tcase_add_test(tests, key_is_resolved_and_not_forwarded);
+    tcase_add_test(tests, request_without_valid_key_is_denied);
+    tcase_add_test(tests, public_route_needs_no_key);
+    tcase_add_test(tests, no_key_needed_without_accounts);
+    tcase_add_test(tests, revoked_key_is_refused);
+    tcase_add_test(tests, revoked_key_is_refused_during_store_outage);
+    tcase_add_test(tests, configuration_with_shared_key_is_rejected);
+    tcase_add_test(tests, invalid_accounts_make_configuration_unusable);
+    tcase_add_test(tests, account_over_limit_gets_retry_after);
+    tcase_add_test(tests, account_limit_holds_across_instances);
+    tcase_add_test(tests, key_is_never_logged_or_printed);
+    tcase_add_test(tests, key_check_results);
+    tcase_add_test(tests, retry_after_is_spread_over_callers);
+    tcase_add_test(tests, silent_instance_is_charged_its_share);
+    tcase_add_test(tests, new_owner_does_not_limit_account_far_below_limit);
+    tcase_add_test(tests, retries_are_charged_and_unsent_requests_refunded);
+    tcase_add_test(tests, instances_choose_same_owner);
+    tcase_add_test(tests, key_lookup_among_many_accounts);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_backend_leaving.c
+++ b/test/gateway/test_backend_leaving.c
@@ -17,7 +17,7 @@
 
 enum { BACKENDS = 4, INSTANCES = 3, SETTLE_MS = 400, SPAN_MS = 1500 };
 
-START_TEST(a_backend_that_says_it_leaves_gets_nothing_new_whatever_the_store_says)
+START_TEST(leaving_backend_gets_no_requests_despite_store)
 {
     const instances_t fleet = new_instances(BACKENDS, INSTANCES);
     site_t *site = fleet.site;
@@ -35,13 +35,13 @@
 END_TEST
 
 static const backend_t *
-seen_by(const instances_t *fleet, size_t instance)
+backend_at(const instances_t *fleet, size_t instance)
 {
     return gateway_backend(fleet->gateways[instance], str_from(fleet->site->backends[0].id));
 }
 
 /* One instance hears it and tells the others, while nobody hears the store. */
-START_TEST(it_is_told_to_all_and_outlives_an_outage_of_the_store)
+START_TEST(leaving_is_gossiped_and_survives_store_outage)
 {
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
     site_t *site = fleet.site;
@@ -50,7 +50,7 @@
     leaving->says = "Server-Leaving: 1\r\n";
     ck_assert_uint_eq(ask_for(&fleet, 1, SETTLE_MS), 0);
     for (size_t i = 0; i < INSTANCES; i++)
-        ck_assert(!backend_is_usable(seen_by(&fleet, i), uv_now(&site->loop)));
+        ck_assert(!backend_is_usable(backend_at(&fleet, i), uv_now(&site->loop)));
     const size_t before = leaving->arrival_count;
     standin_store_forget(site->store); /* a new list is taken */
     standin_store_set_mode(site->store, STANDIN_STORE_SERVES);
@@ -59,7 +59,7 @@
 }
 END_TEST
 
-START_TEST(an_instance_that_starts_knows_it_before_it_sends)
+START_TEST(new_instance_learns_leaving_before_sending)
 {
     instances_t fleet = new_instances(BACKENDS, 1);
     site_t *site = fleet.site;
@@ -68,13 +68,13 @@
     ask_for(&fleet, fleet.count, SETTLE_MS);
     const size_t before = leaving->arrival_count;
     add_instances(&fleet, 2);
-    ck_assert(!backend_is_usable(seen_by(&fleet, 1), uv_now(&site->loop)));
+    ck_assert(!backend_is_usable(backend_at(&fleet, 1), uv_now(&site->loop)));
     ck_assert_uint_eq(ask_for(&fleet, fleet.count, SETTLE_MS), 0);
     ck_assert_uint_eq(leaving->arrival_count, before);
 }
 END_TEST
 
-START_TEST(an_entry_that_goes_and_comes_back_does_not_undo_it)
+START_TEST(relisted_entry_does_not_reset_leaving)
 {
     instances_t fleet = new_instances(BACKENDS, 1);
     site_t *site = fleet.site;
@@ -82,14 +82,14 @@
     leaving->says = "Server-Leaving: 1\r\n";
     ask_for(&fleet, fleet.count, SETTLE_MS);
     standin_store_remove(site->store, "servers", leaving->id);
-    RUN_UNTIL(site, seen_by(&fleet, 0) == NULL);
+    RUN_UNTIL(site, backend_at(&fleet, 0) == NULL);
     put_backend(site, leaving, "ready");
-    RUN_UNTIL(site, seen_by(&fleet, 0) != NULL);
-    ck_assert(!backend_is_usable(seen_by(&fleet, 0), uv_now(&site->loop)));
+    RUN_UNTIL(site, backend_at(&fleet, 0) != NULL);
+    ck_assert(!backend_is_usable(backend_at(&fleet, 0), uv_now(&site->loop)));
 }
 END_TEST
 
-START_TEST(a_new_life_serves_again)
+START_TEST(new_incarnation_serves_again)
 {
     instances_t fleet = new_instances(BACKENDS, 1);
     site_t *site = fleet.site;
@@ -97,19 +97,19 @@
     leaving->born = 1000;
     leaving->says = "Server-Leaving: 1\r\n";
     put_backend(site, leaving, "ready");
-    RUN_UNTIL(site, seen_by(&fleet, 0)->info.born == leaving->born);
+    RUN_UNTIL(site, backend_at(&fleet, 0)->info.born == leaving->born);
     ask_for(&fleet, fleet.count, SETTLE_MS);
-    ck_assert(seen_by(&fleet, 0)->stated_leaving);
+    ck_assert(backend_at(&fleet, 0)->stated_leaving);
     leaving->says = NULL;
     leaving->born = 2000;
     put_backend(site, leaving, "ready");
-    RUN_UNTIL(site, seen_by(&fleet, 0)->info.born == leaving->born);
-    ck_assert(!seen_by(&fleet, 0)->stated_leaving);
+    RUN_UNTIL(site, backend_at(&fleet, 0)->info.born == leaving->born);
+    ck_assert(!backend_at(&fleet, 0)->stated_leaving);
 }
 END_TEST
 
 /* What cannot be served is refused at once, with a time to come back. */
-START_TEST(where_all_leave_callers_are_told_to_come_back)
+START_TEST(retry_after_when_all_backends_leave)
 {
     enum { LEAVING = 2 };
     instances_t fleet = new_instances(LEAVING, 1);
@@ -119,11 +119,11 @@
     ask_for(&fleet, fleet.count, SETTLE_MS);
     const size_t before = site->backends[0].arrival_count + site->backends[1].arrival_count;
     for (size_t i = 0; i < 10; i++) {
-        const uint64_t begun_ms = uv_now(&site->loop);
+        const uint64_t start_ms = uv_now(&site->loop);
         const reply_t reply = ask_through(&fleet, 0, "/safe/x");
         ck_assert_int_eq(reply.status, 503);
         ck_assert_str_ne(reply.retry_after, "");
-        ck_assert_uint_lt(uv_now(&site->loop) - begun_ms, 100);
+        ck_assert_uint_lt(uv_now(&site->loop) - start_ms, 100);
     }
     ck_assert_uint_eq(site->backends[0].arrival_count + site->backends[1].arrival_count, before);
 }
@@ -135,12 +135,12 @@
     Suite *suite = suite_create("gateway: backend leaving");
     TCase *tests = tcase_create("backend leaving");
     tcase_set_timeout(tests, 30);
-    tcase_add_test(tests, a_backend_that_says_it_leaves_gets_nothing_new_whatever_the_store_says);
-    tcase_add_test(tests, it_is_told_to_all_and_outlives_an_outage_of_the_store);
-    tcase_add_test(tests, an_instance_that_starts_knows_it_before_it_sends);
-    tcase_add_test(tests, an_entry_that_goes_and_comes_back_does_not_undo_it);
-    tcase_add_test(tests, a_new_life_serves_again);
-    tcase_add_test(tests, where_all_leave_callers_are_told_to_come_back);
+    tcase_add_test(tests, leaving_backend_gets_no_requests_despite_store);
+    tcase_add_test(tests, leaving_is_gossiped_and_survives_store_outage);
+    tcase_add_test(tests, new_instance_learns_leaving_before_sending);
+    tcase_add_test(tests, relisted_entry_does_not_reset_leaving);
+    tcase_add_test(tests, new_incarnation_serves_again);
+    tcase_add_test(tests, retry_after_when_all_backends_leave);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_backend_limit.c
+++ b/test/gateway/test_backend_limit.c
@@ -24,31 +24,31 @@
     WINDOW_MS = 4000,
     SPAN_MS = 5500,
     /* One and a half times the limit, and five. */
-    WINDOW_MOST = LIMIT_PER_S * WINDOW_MS / 1000 * 3 / 2 + 5,
+    WINDOW_MAX_ARRIVALS = LIMIT_PER_S * WINDOW_MS / 1000 * 3 / 2 + 5,
     /* Eight tenths of what the limit offers. */
-    SPAN_LEAST = LIMIT_PER_S * SPAN_MS / 1000 * 8 / 10,
+    SPAN_MIN_ARRIVALS = LIMIT_PER_S * SPAN_MS / 1000 * 8 / 10,
 };
 
 static void
-check_limit_is_kept(size_t callers_at)
+check_limit_is_kept(size_t used_instances)
 {
     const instances_t fleet = new_instances(BACKENDS, INSTANCES);
     scripted_t *limited = &fleet.site->backends[0];
     limited->says = "Server-Limit: 2.0\r\n";
-    ck_assert_uint_eq(ask_for(&fleet, callers_at, SETTLE_MS), 0);
+    ck_assert_uint_eq(ask_for(&fleet, used_instances, SETTLE_MS), 0);
     const uint64_t from_ms = uv_now(&fleet.site->loop);
-    ck_assert_uint_eq(ask_for(&fleet, callers_at, SPAN_MS), 0);
-    ck_assert_uint_le(most_arrivals(limited, from_ms, WINDOW_MS), WINDOW_MOST);
-    ck_assert_uint_ge(arrivals_between(limited, from_ms, UINT64_MAX), SPAN_LEAST);
+    ck_assert_uint_eq(ask_for(&fleet, used_instances, SPAN_MS), 0);
+    ck_assert_uint_le(most_arrivals(limited, from_ms, WINDOW_MS), WINDOW_MAX_ARRIVALS);
+    ck_assert_uint_ge(arrivals_between(limited, from_ms, UINT64_MAX), SPAN_MIN_ARRIVALS);
 }
 
-START_TEST(a_limit_that_a_backend_server_names_holds_over_all_instances)
+START_TEST(backend_limit_holds_across_instances)
 {
     check_limit_is_kept(INSTANCES);
 }
 END_TEST
 
-START_TEST(a_limit_is_used_wherever_the_callers_are)
+START_TEST(backend_limit_is_usable_from_one_instance)
 {
     check_limit_is_kept(1);
 }
@@ -66,55 +66,55 @@
 }
 
 static const backend_t *
-seen_by(const instances_t *fleet, size_t instance)
+backend_at(const instances_t *fleet, size_t instance)
 {
     return gateway_backend(fleet->gateways[instance], str_from(fleet->site->backends[0].id));
 }
 
-START_TEST(a_limit_that_is_not_named_any_more_is_lifted_everywhere)
+START_TEST(withdrawn_limit_is_lifted_on_all_instances)
 {
     instances_t fleet = new_limited(INSTANCES, "Server-Limit: 2\r\n");
     for (size_t i = 0; i < INSTANCES; i++)
-        ck_assert(seen_by(&fleet, i)->limit.is_set);
+        ck_assert(backend_at(&fleet, i)->limit.is_set);
     fleet.site->backends[0].says = NULL;
     ask_for(&fleet, 1, SETTLE_MS);
     for (size_t i = 0; i < INSTANCES; i++)
-        ck_assert(!seen_by(&fleet, i)->limit.is_set);
+        ck_assert(!backend_at(&fleet, i)->limit.is_set);
 }
 END_TEST
 
-START_TEST(an_instance_that_starts_knows_the_limit_before_it_sends)
+START_TEST(new_instance_learns_limit_before_sending)
 {
     instances_t fleet = new_limited(1, "Server-Limit: 2\r\n");
     const size_t before = fleet.site->backends[0].arrival_count;
     const addr_t seed = gateway_settings(fleet.gateways[0])->peer;
     fleet.gateways[1] = start_gateway(fleet.site, "g-2", &fleet.site->store_port, &seed);
-    RUN_UNTIL(fleet.site, seen_by(&fleet, 1) != NULL && seen_by(&fleet, 1)->limit.is_set);
+    RUN_UNTIL(fleet.site, backend_at(&fleet, 1) != NULL && backend_at(&fleet, 1)->limit.is_set);
     ck_assert_uint_eq(fleet.site->backends[0].arrival_count, before);
 }
 END_TEST
 
-START_TEST(a_new_life_starts_without_the_limit)
+START_TEST(new_incarnation_starts_without_limit)
 {
     instances_t fleet = new_instances(BACKENDS, 1);
     scripted_t *backend = &fleet.site->backends[0];
     backend->born = 1000;
     backend->says = "Server-Limit: 0.1\r\n";
     put_backend(fleet.site, backend, "ready");
-    RUN_UNTIL(fleet.site, seen_by(&fleet, 0)->info.born == backend->born);
+    RUN_UNTIL(fleet.site, backend_at(&fleet, 0)->info.born == backend->born);
     ask_for(&fleet, 1, SETTLE_MS);
-    ck_assert(seen_by(&fleet, 0)->limit.is_set);
+    ck_assert(backend_at(&fleet, 0)->limit.is_set);
     backend->says = NULL;
     backend->born = 2000;
     put_backend(fleet.site, backend, "ready");
-    RUN_UNTIL(fleet.site, seen_by(&fleet, 0)->info.born == backend->born);
-    ck_assert(!seen_by(&fleet, 0)->limit.is_set);
+    RUN_UNTIL(fleet.site, backend_at(&fleet, 0)->info.born == backend->born);
+    ck_assert(!backend_at(&fleet, 0)->limit.is_set);
 }
 END_TEST
 
-START_TEST(where_all_are_at_their_limits_callers_are_told_when_to_come_back)
+START_TEST(retry_after_when_all_backends_at_limit)
 {
-    enum { ASKED = 20 };
+    enum { REQUESTS = 20 };
     const instances_t fleet = new_instances(2, 2);
     site_t *site = fleet.site;
     for (size_t i = 0; i < 2; i++)
@@ -122,26 +122,26 @@
     ask_for(&fleet, 2, SETTLE_MS);
     size_t refused = 0;
     reply_t reply;
-    for (size_t i = 0; i < ASKED; i++) {
-        const uint64_t begun_ms = uv_now(&site->loop);
+    for (size_t i = 0; i < REQUESTS; i++) {
+        const uint64_t start_ms = uv_now(&site->loop);
         reply = ask_through(&fleet, i % 2, "/safe/x");
         refused += reply.status == 503;
         ck_assert(reply.status == 200 || strtod(reply.retry_after, NULL) > 0);
-        ck_assert_uint_lt(uv_now(&site->loop) - begun_ms, 200); /* at once */
+        ck_assert_uint_lt(uv_now(&site->loop) - start_ms, 200); /* at once */
     }
-    ck_assert_uint_ge(refused, ASKED - 4);
+    ck_assert_uint_ge(refused, REQUESTS - 4);
     /* Two a second and a half of tokens: the time that was told is true. */
     pass(site, (uint64_t)(1000 * strtod(reply.retry_after, NULL)));
-    ck_assert_int_eq(ask_through(&fleet, (ASKED - 1) % 2, "/safe/x").status, 200);
+    ck_assert_int_eq(ask_through(&fleet, (REQUESTS - 1) % 2, "/safe/x").status, 200);
 }
 END_TEST
 
 static void
-on_ignored(void *ctx, peer_conn_t *conn, const Iris__Envelope *message)
+count_permit_requests(void *ctx, peer_conn_t *conn, const Iris__Envelope *message)
 {
-    unsigned *asked = ctx;
+    unsigned *permit_requests = ctx;
     (void)conn;
-    *asked += message->body_case == IRIS__ENVELOPE__BODY_PERMIT_REQUEST;
+    *permit_requests += message->body_case == IRIS__ENVELOPE__BODY_PERMIT_REQUEST;
 }
 
 /* An instance that owns nearly everything, by its cores, and answers nothing. */
@@ -165,14 +165,15 @@
     peer_send(hub, to, &envelope);
 }
 
-START_TEST(requests_are_served_elsewhere_while_the_owner_of_permits_is_silent)
+START_TEST(silent_permit_owner_diverts_requests)
 {
     enum { ROUNDS = 8, ROUND_MS = 300 };
     err_t err = {0};
-    unsigned asked = 0;
+    unsigned permit_requests = 0;
     instances_t fleet = new_limited(1, "Server-Limit: 2\r\n");
     site_t *site = fleet.site;
-    peer_hub_t *hub = peer_hub_start(&site->loop, &site->any, on_ignored, &asked, &err);
+    peer_hub_t *hub =
+        peer_hub_start(&site->loop, &site->any, count_permit_requests, &permit_requests, &err);
     addr_t own = site->any;
     addr_set_port(&own, peer_hub_port(hub));
     send_heartbeat(hub, &own, &gateway_settings(fleet.gateways[0])->peer);
@@ -182,13 +183,14 @@
         send_heartbeat(hub, &own, &gateway_settings(fleet.gateways[0])->peer);
         ck_assert_uint_eq(ask_for(&fleet, 1, ROUND_MS), 0);
     }
-    ck_assert_uint_ge(asked, 2);
-    ck_assert_uint_le(asked, ROUNDS * ROUND_MS / 500 + 2); /* one request in half a second waits */
+    ck_assert_uint_ge(permit_requests, 2);
+    ck_assert_uint_le(permit_requests,
+                      ROUNDS * ROUND_MS / 500 + 2); /* one request in half a second waits */
     ck_assert_uint_le(site->backends[0].arrival_count, before + 1);
 }
 END_TEST
 
-START_TEST(second_sends_take_permits_too)
+START_TEST(retries_take_permits)
 {
     /* The other three answer 500 to all: each request is repeated, half of them to the limited one.
      */
@@ -198,7 +200,7 @@
         site->backends[i].behaviour = DOES_FAIL;
     const uint64_t from_ms = uv_now(&site->loop);
     ask_for(&fleet, 2, WINDOW_MS);
-    ck_assert_uint_le(most_arrivals(&site->backends[0], from_ms, WINDOW_MS), WINDOW_MOST);
+    ck_assert_uint_le(most_arrivals(&site->backends[0], from_ms, WINDOW_MS), WINDOW_MAX_ARRIVALS);
 }
 END_TEST
 
@@ -208,14 +210,14 @@
     Suite *suite = suite_create("gateway: backend limit");
     TCase *tests = tcase_create("backend limit");
     tcase_set_timeout(tests, 30);
-    tcase_add_test(tests, a_limit_that_a_backend_server_names_holds_over_all_instances);
-    tcase_add_test(tests, a_limit_is_used_wherever_the_callers_are);
-    tcase_add_test(tests, a_limit_that_is_not_named_any_more_is_lifted_everywhere);
-    tcase_add_test(tests, an_instance_that_starts_knows_the_limit_before_it_sends);
-    tcase_add_test(tests, a_new_life_starts_without_the_limit);
-    tcase_add_test(tests, where_all_are_at_their_limits_callers_are_told_when_to_come_back);
-    tcase_add_test(tests, requests_are_served_elsewhere_while_the_owner_of_permits_is_silent);
-    tcase_add_test(tests, second_sends_take_permits_too);
+    tcase_add_test(tests, backend_limit_holds_across_instances);
+    tcase_add_test(tests, backend_limit_is_usable_from_one_instance);
+    tcase_add_test(tests, withdrawn_limit_is_lifted_on_all_instances);
+    tcase_add_test(tests, new_instance_learns_limit_before_sending);
+    tcase_add_test(tests, new_incarnation_starts_without_limit);
+    tcase_add_test(tests, retry_after_when_all_backends_at_limit);
+    tcase_add_test(tests, silent_permit_owner_diverts_requests);
+    tcase_add_test(tests, retries_take_permits);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_config.c
+++ b/test/gateway/test_config.c
@@ -25,7 +25,7 @@
 END_TEST
 
 /* Whatever the order in which they come, each is made once, found again, and stays where it is. */
-START_TEST(services_are_found_again)
+START_TEST(services_get_returns_same_entry)
 {
     enum { COUNT = 50, STRIDE = 7 };
     services_t services = {0};
@@ -53,7 +53,7 @@
     Suite *suite = suite_create("gateway: config");
     TCase *tests = tcase_create("config");
     tcase_add_test(tests, longest_prefix_wins);
-    tcase_add_test(tests, services_are_found_again);
+    tcase_add_test(tests, services_get_returns_same_entry);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_limit_model.c
+++ b/test/gateway/test_limit_model.c
@@ -96,16 +96,16 @@
     enum { SPAN_S = 5, BURST = 2 };
     for (size_t i = 0; i < ALEN(sizes) * ALEN(limits); i++) {
         const model_conf_t conf = {
-            .way = WAY_OWNERS,
+            .strategy = STRATEGY_OWNERS,
             .instances = sizes[i / ALEN(limits)],
             .rate_per_s = limits[i % ALEN(limits)],
             .burst = BURST,
-            .usual = 4,
+            .base_load = 4,
             .length_ms = 20000,
             .seed = 1,
         };
         const model_result_t result = model_run(&conf);
-        ck_assert(result.admitted <= result.asked);
+        ck_assert(result.admitted <= result.requested);
         if (getenv("LIMIT_MODEL_TABLE") != NULL)
             printf("| none | %u | %g | accounts | %.0f of %g in 5 s | %.2f | %.0f |\n",
                    conf.instances, conf.rate_per_s,
--- a/test/gateway/test_lives.c
+++ b/test/gateway/test_lives.c
@@ -9,7 +9,7 @@
 #include "test/gateway/fixture.h"
 #include "test/suites.h"
 
-enum { START_MS = 100000, ENTRIES_MAX = 3, NOT_TOLD = 0 };
+enum { START_MS = 100000, ENTRIES_MAX = 3, UNKNOWN_START = 0 };
 
 /* A list of backend servers and the catalog that it is applied to, on a clock that stands still. */
 typedef struct {
@@ -18,269 +18,270 @@
     view_t view;
     catalog_t catalog;
     uint64_t revision;
-} rig_t;
+} test_catalog_t;
 
-static rig_t *
-new_rig(void)
+static test_catalog_t *
+new_test_catalog(void)
 {
-    rig_t *rig = xcalloc(1, sizeof(*rig));
-    uv_loop_init(&rig->loop);
-    rig->loop.time = START_MS;
-    rig->topology = three_regions();
-    catalog_init(&rig->catalog, &rig->loop, &rig->topology, &platform_decoder);
-    rig->revision = 10;
-    ck_assert_int_eq(view_replace(&rig->view, NULL, 0, rig->revision), VIEW_CHANGED);
-    return rig;
+    test_catalog_t *test = xcalloc(1, sizeof(*test));
+    uv_loop_init(&test->loop);
+    test->loop.time = START_MS;
+    test->topology = three_regions();
+    catalog_init(&test->catalog, &test->loop, &test->topology, &platform_decoder);
+    test->revision = 10;
+    ck_assert_int_eq(view_replace(&test->view, NULL, 0, test->revision), VIEW_CHANGED);
+    return test;
 }
 
 static void
-free_rig(rig_t *rig)
+free_test_catalog(test_catalog_t *test)
 {
-    backends_free(&rig->catalog.backends);
-    departures_free(&rig->catalog.departures);
-    departures_free(&rig->catalog.new_departures);
-    free(rig->catalog.unusable);
-    view_free(&rig->view);
-    free(rig);
+    backends_free(&test->catalog.backends);
+    departures_free(&test->catalog.departures);
+    departures_free(&test->catalog.new_departures);
+    free(test->catalog.unusable);
+    view_free(&test->view);
+    free(test);
 }
 
-static const removal_store_t no_trouble = {REMOVAL_NEVER, REMOVAL_NEVER};
+static const removal_store_t healthy_store = {REMOVAL_NEVER, REMOVAL_NEVER};
 
 /* The list says this of a backend server from now on; `body` empty: nothing. */
 static void
-tell(rig_t *rig, const char *id, const char *body)
+put_raw_entry(test_catalog_t *test, const char *id, const char *body)
 {
-    const uint64_t from = rig->view.at;
-    rig->revision++;
+    const uint64_t from = test->view.at;
+    test->revision++;
     const store_item_t item = {
         .name = str_from(id),
-        .revision = rig->revision,
+        .revision = test->revision,
         .gone = body[0] == '\0',
         .body = str_from(body),
     };
-    view_apply(&rig->view, &item, 1, from, rig->revision);
-    catalog_apply_backends(&rig->catalog, &rig->view, no_trouble);
+    view_apply(&test->view, &item, 1, from, test->revision);
+    catalog_apply_backends(&test->catalog, &test->view, healthy_store);
 }
 
 /* An entry as a backend server writes it; `born` NOT_TOLD: without. */
 static char *
-entry(const char *state, unsigned long long born)
+entry_json(const char *state, unsigned long long born)
 {
-    char *text = born != NOT_TOLD ? xasprintf("\"born\":%llu,", born) : xasprintf("%s", "");
+    char *born_field =
+        born != UNKNOWN_START ? xasprintf("\"born\":%llu,", born) : xasprintf("%s", "");
     char *body = xasprintf("{\"metadata\":{},\"spec\":{%s\"address\":\"10.1.0.9:80\",\"info\":{"
                            "\"service\":\"svc\",\"version\":\"v1\",\"zone\":\"a1\",\"capacity\":4},"
                            "\"status\":{\"state\":\"%s\",\"callSeq\":1,\"coldRemainingMs\":0}}}",
-                           text, state);
-    free(text);
+                           born_field, state);
+    free(born_field);
     return body;
 }
 
 static void
-tell_entry(rig_t *rig, const char *id, const char *state, unsigned long long born)
+put_entry(test_catalog_t *test, const char *id, const char *state, unsigned long long born)
 {
-    char *body = entry(state, born);
-    tell(rig, id, body);
+    char *body = entry_json(state, born);
+    put_raw_entry(test, id, body);
     free(body);
 }
 
 static backend_t *
-find(const rig_t *rig, const char *id)
+find_backend(const test_catalog_t *test, const char *id)
 {
-    return backends_find(&rig->catalog.backends, str_from(id));
+    return backends_find(&test->catalog.backends, str_from(id));
 }
 
 static bool
-is_usable(const rig_t *rig, const char *id)
+is_usable(const test_catalog_t *test, const char *id)
 {
-    const backend_t *backend = find(rig, id);
-    return backend != NULL && backend_is_usable(backend, rig->loop.time);
+    const backend_t *backend = find_backend(test, id);
+    return backend != NULL && backend_is_usable(backend, test->loop.time);
 }
 
 static void
-tell_departure(rig_t *rig, const char *id, uint64_t revision, bool gone)
+announce_departure(test_catalog_t *test, const char *id, uint64_t revision, bool gone)
 {
-    departure_t departure = {.revision = revision, .gone = gone, .told_ms = rig->loop.time};
+    departure_t departure = {.revision = revision, .gone = gone, .told_ms = test->loop.time};
     ck_assert(name_set(&departure.backend, str_from(id)));
-    catalog_apply_departures(&rig->catalog, &departure, 1, no_trouble);
+    catalog_apply_departures(&test->catalog, &departure, 1, healthy_store);
 }
 
 /* ---- departures ---- */
 
-START_TEST(a_departure_binds_before_the_list_tells_it)
+START_TEST(departure_applies_before_list_changes)
 {
     for (int gone = 0; gone <= 1; gone++) {
-        rig_t *rig = new_rig();
-        tell_entry(rig, "i-1", "ready", NOT_TOLD);
-        tell_entry(rig, "i-2", "ready", NOT_TOLD);
-        tell_departure(rig, "i-1", rig->revision + 5, gone);
-        ck_assert(!is_usable(rig, "i-1"));
-        ck_assert(is_usable(rig, "i-2"));
+        test_catalog_t *test = new_test_catalog();
+        put_entry(test, "i-1", "ready", UNKNOWN_START);
+        put_entry(test, "i-2", "ready", UNKNOWN_START);
+        announce_departure(test, "i-1", test->revision + 5, gone);
+        ck_assert(!is_usable(test, "i-1"));
+        ck_assert(is_usable(test, "i-2"));
         /* What the list said before that changes nothing, also if it comes later. */
-        tell_entry(rig, "i-1", "ready", NOT_TOLD);
-        ck_assert(!is_usable(rig, "i-1"));
-        tell_entry(rig, "i-2", "ready", NOT_TOLD);
-        ck_assert(!is_usable(rig, "i-1"));
+        put_entry(test, "i-1", "ready", UNKNOWN_START);
+        ck_assert(!is_usable(test, "i-1"));
+        put_entry(test, "i-2", "ready", UNKNOWN_START);
+        ck_assert(!is_usable(test, "i-1"));
         /* What it said after that does. */
-        rig->revision += 10;
-        tell_entry(rig, "i-1", "ready", NOT_TOLD);
-        ck_assert(is_usable(rig, "i-1"));
-        free_rig(rig);
+        test->revision += 10;
+        put_entry(test, "i-1", "ready", UNKNOWN_START);
+        ck_assert(is_usable(test, "i-1"));
+        free_test_catalog(test);
     }
 }
 END_TEST
 
-START_TEST(a_departure_binds_an_entry_that_comes_after_it)
+START_TEST(departure_applies_to_later_stale_entry)
 {
-    rig_t *rig = new_rig();
-    tell_departure(rig, "i-1", 50, false);
-    tell_departure(rig, "i-2", 50, true);
-    tell_entry(rig, "i-1", "ready", NOT_TOLD);
-    tell_entry(rig, "i-2", "ready", NOT_TOLD);
-    ck_assert(!is_usable(rig, "i-1") && !is_usable(rig, "i-2"));
-    free_rig(rig);
+    test_catalog_t *test = new_test_catalog();
+    announce_departure(test, "i-1", 50, false);
+    announce_departure(test, "i-2", 50, true);
+    put_entry(test, "i-1", "ready", UNKNOWN_START);
+    put_entry(test, "i-2", "ready", UNKNOWN_START);
+    ck_assert(!is_usable(test, "i-1") && !is_usable(test, "i-2"));
+    free_test_catalog(test);
 }
 END_TEST
 
-START_TEST(the_list_tells_who_leaves_from_now_on)
+START_TEST(list_change_reports_new_departures)
 {
-    rig_t *rig = new_rig();
-    tell_entry(rig, "i-1", "ready", NOT_TOLD);
-    tell_entry(rig, "i-2", "ready", NOT_TOLD);
-    ck_assert_uint_eq(rig->catalog.new_departures.count, 0);
-    tell_entry(rig, "i-1", "draining", NOT_TOLD);
-    ck_assert_uint_eq(rig->catalog.new_departures.count, 1);
-    ck_assert(!rig->catalog.new_departures.items[0].gone);
-    tell_entry(rig, "i-1", "draining", NOT_TOLD); /* told before */
-    ck_assert_uint_eq(rig->catalog.new_departures.count, 0);
-    tell(rig, "i-2", "");
-    ck_assert_uint_eq(rig->catalog.new_departures.count, 1);
-    ck_assert(rig->catalog.new_departures.items[0].gone);
-    ck_assert_uint_eq(rig->catalog.new_departures.items[0].revision, rig->revision);
-    free_rig(rig);
+    test_catalog_t *test = new_test_catalog();
+    put_entry(test, "i-1", "ready", UNKNOWN_START);
+    put_entry(test, "i-2", "ready", UNKNOWN_START);
+    ck_assert_uint_eq(test->catalog.new_departures.count, 0);
+    put_entry(test, "i-1", "draining", UNKNOWN_START);
+    ck_assert_uint_eq(test->catalog.new_departures.count, 1);
+    ck_assert(!test->catalog.new_departures.items[0].gone);
+    put_entry(test, "i-1", "draining", UNKNOWN_START); /* told before */
+    ck_assert_uint_eq(test->catalog.new_departures.count, 0);
+    put_raw_entry(test, "i-2", "");
+    ck_assert_uint_eq(test->catalog.new_departures.count, 1);
+    ck_assert(test->catalog.new_departures.items[0].gone);
+    ck_assert_uint_eq(test->catalog.new_departures.items[0].revision, test->revision);
+    free_test_catalog(test);
 }
 END_TEST
 
-START_TEST(departures_are_forgotten_in_time)
+START_TEST(departures_are_removed_after_timeout)
 {
-    rig_t *rig = new_rig();
-    tell_departure(rig, "i-1", 50, true);
-    rig->loop.time += 30001;
-    catalog_tick(&rig->catalog);
-    ck_assert_uint_eq(rig->catalog.departures.count, 0);
-    free_rig(rig);
+    test_catalog_t *test = new_test_catalog();
+    announce_departure(test, "i-1", 50, true);
+    test->loop.time += 30001;
+    catalog_tick(&test->catalog);
+    ck_assert_uint_eq(test->catalog.departures.count, 0);
+    free_test_catalog(test);
 }
 END_TEST
 
 /* ---- lives ---- */
 
-START_TEST(a_new_life_knows_nothing_of_the_old_one)
+START_TEST(new_incarnation_starts_with_clean_state)
 {
-    rig_t *rig = new_rig();
-    tell_entry(rig, "i-1", "draining", 1000);
-    backend_t *old = backend_ref(find(rig, "i-1"));
+    test_catalog_t *test = new_test_catalog();
+    put_entry(test, "i-1", "draining", 1000);
+    backend_t *old = backend_ref(find_backend(test, "i-1"));
     const reported_load_t load = {4, 9, 4};
     backend_attempt_started(old);
-    backend_report_load(old, &load, rig->loop.time);
-    backend_extend_cold(old, 5000, rig->loop.time);
+    backend_report_load(old, &load, test->loop.time);
+    backend_extend_cold(old, 5000, test->loop.time);
     backend_answered(old, 700, false);
-    breaker_record_failure(&old->breaker, rig->loop.time);
-    breaker_record_failure(&old->breaker, rig->loop.time);
-    health_record(&old->health, true, rig->loop.time);
-    tell_entry(rig, "i-1", "ready", 2000);
-    backend_t *now = find(rig, "i-1");
-    ck_assert(now != NULL && now != old && is_usable(rig, "i-1"));
+    breaker_record_failure(&old->breaker, test->loop.time);
+    breaker_record_failure(&old->breaker, test->loop.time);
+    health_record(&old->health, true, test->loop.time);
+    put_entry(test, "i-1", "ready", 2000);
+    backend_t *now = find_backend(test, "i-1");
+    ck_assert(now != NULL && now != old && is_usable(test, "i-1"));
     ck_assert(now->pool != old->pool);
     ck_assert(now->in_flight == 0 && now->service_time_ms == 0 && now->other_load == 0);
-    ck_assert(!backend_is_cold(now, rig->loop.time));
+    ck_assert(!backend_is_cold(now, test->loop.time));
     ck_assert(now->health.weight == 0);
-    ck_assert(!breaker_is_suspended(&now->breaker, rig->loop.time));
+    ck_assert(!breaker_is_suspended(&now->breaker, test->loop.time));
     /* An attempt at the old life ends there. */
     ck_assert(!old->listed);
     backend_attempt_finished(old);
     ck_assert_uint_eq(now->in_flight, 0);
     backend_unref(old);
-    free_rig(rig);
+    free_test_catalog(test);
 }
 END_TEST
 
-START_TEST(late_news_of_an_old_life_changes_nothing)
+START_TEST(stale_update_of_old_incarnation_is_ignored)
 {
-    rig_t *rig = new_rig();
-    tell_entry(rig, "i-1", "ready", 1000);
-    const uint64_t old_revision = rig->revision;
-    tell_entry(rig, "i-1", "ready", 2000);
-    const backend_t *now = find(rig, "i-1");
+    test_catalog_t *test = new_test_catalog();
+    put_entry(test, "i-1", "ready", 1000);
+    const uint64_t old_revision = test->revision;
+    put_entry(test, "i-1", "ready", 2000);
+    const backend_t *now = find_backend(test, "i-1");
     /* By the list, though it says so later than the new life's entry. */
-    tell_entry(rig, "i-1", "draining", 1000);
-    ck_assert_ptr_eq(find(rig, "i-1"), now);
-    ck_assert(is_usable(rig, "i-1"));
+    put_entry(test, "i-1", "draining", 1000);
+    ck_assert_ptr_eq(find_backend(test, "i-1"), now);
+    ck_assert(is_usable(test, "i-1"));
     /* By a peer's departures. */
-    tell_departure(rig, "i-1", old_revision, true);
-    tell_departure(rig, "i-1", old_revision, false);
-    ck_assert(is_usable(rig, "i-1"));
-    free_rig(rig);
+    announce_departure(test, "i-1", old_revision, true);
+    announce_departure(test, "i-1", old_revision, false);
+    ck_assert(is_usable(test, "i-1"));
+    free_test_catalog(test);
 }
 END_TEST
 
-START_TEST(an_entry_that_does_not_tell_its_life_is_of_the_same)
+START_TEST(entry_without_start_time_is_same_incarnation)
 {
-    rig_t *rig = new_rig();
-    tell_entry(rig, "i-1", "ready", NOT_TOLD);
-    const backend_t *first = find(rig, "i-1");
-    tell_entry(rig, "i-1", "ready", 1000);
-    ck_assert_ptr_eq(find(rig, "i-1"), first);
-    tell_entry(rig, "i-1", "draining", NOT_TOLD);
-    ck_assert_ptr_eq(find(rig, "i-1"), first);
-    ck_assert(!is_usable(rig, "i-1"));
+    test_catalog_t *test = new_test_catalog();
+    put_entry(test, "i-1", "ready", UNKNOWN_START);
+    const backend_t *first = find_backend(test, "i-1");
+    put_entry(test, "i-1", "ready", 1000);
+    ck_assert_ptr_eq(find_backend(test, "i-1"), first);
+    put_entry(test, "i-1", "draining", UNKNOWN_START);
+    ck_assert_ptr_eq(find_backend(test, "i-1"), first);
+    ck_assert(!is_usable(test, "i-1"));
     ck_assert_int_eq(backend_incarnation_order(0, 7), 0);
     ck_assert_int_lt(backend_incarnation_order(6, 7), 0);
     ck_assert_int_gt(backend_incarnation_order(8, 7), 0);
-    free_rig(rig);
+    free_test_catalog(test);
 }
 END_TEST
 
 /* ---- entries of another writer ---- */
 
-static const char *const foreign_entries[] = {
+static const char *const invalid_entries[] = {
     "no JSON",
     "[]",
     "{\"spec\":7}",
     "{\"spec\":{}}",
 };
 
-START_TEST(a_foreign_entry_names_no_backend_server)
+START_TEST(invalid_entry_adds_no_backend)
 {
-    for (size_t i = 0; i < ALEN(foreign_entries); i++) {
-        rig_t *rig = new_rig();
-        tell_entry(rig, "i-1", "ready", NOT_TOLD);
-        tell(rig, "i-2", foreign_entries[i]);
-        ck_assert_ptr_null(find(rig, "i-2"));
-        ck_assert(is_usable(rig, "i-1"));
-        ck_assert_uint_eq(rig->catalog.unusable_count, 1);
+    for (size_t i = 0; i < ALEN(invalid_entries); i++) {
+        test_catalog_t *test = new_test_catalog();
+        put_entry(test, "i-1", "ready", UNKNOWN_START);
+        put_raw_entry(test, "i-2", invalid_entries[i]);
+        ck_assert_ptr_null(find_backend(test, "i-2"));
+        ck_assert(is_usable(test, "i-1"));
+        ck_assert_uint_eq(test->catalog.unusable_count, 1);
         /* It is looked at once. */
-        tell_entry(rig, "i-1", "ready", NOT_TOLD);
-        ck_assert_uint_eq(rig->catalog.unusable_count, 1);
-        tell(rig, "i-2", "");
-        ck_assert_uint_eq(rig->catalog.unusable_count, 0);
-        free_rig(rig);
+        put_entry(test, "i-1", "ready", UNKNOWN_START);
+        ck_assert_uint_eq(test->catalog.unusable_count, 1);
+        put_raw_entry(test, "i-2", "");
+        ck_assert_uint_eq(test->catalog.unusable_count, 0);
+        free_test_catalog(test);
     }
 }
 END_TEST
 
-START_TEST(a_used_backend_whose_entry_cannot_be_read_gets_nothing)
+START_TEST(backend_with_unreadable_entry_gets_no_requests)
 {
-    rig_t *rig = new_rig();
-    tell_entry(rig, "i-1", "ready", NOT_TOLD);
-    tell_entry(rig, "i-1", "resting", NOT_TOLD);
-    ck_assert(!is_usable(rig, "i-1"));
-    ck_assert_uint_eq(rig->catalog.new_departures.count, 1);
-    tell_entry(rig, "i-2", "ready", NOT_TOLD);
-    ck_assert(!is_usable(rig, "i-1"));
-    ck_assert_uint_eq(rig->catalog.unusable_count, 1);
-    tell_entry(rig, "i-1", "ready", NOT_TOLD);
-    ck_assert(is_usable(rig, "i-1"));
-    ck_assert_uint_eq(rig->catalog.unusable_count, 0);
-    free_rig(rig);
+    test_catalog_t *test = new_test_catalog();
+    put_entry(test, "i-1", "ready", UNKNOWN_START);
+    put_entry(test, "i-1", "resting", UNKNOWN_START);
+    ck_assert(!is_usable(test, "i-1"));
+    ck_assert_uint_eq(test->catalog.new_departures.count, 1);
+    put_entry(test, "i-2", "ready", UNKNOWN_START);
+    ck_assert(!is_usable(test, "i-1"));
+    ck_assert_uint_eq(test->catalog.unusable_count, 1);
+    put_entry(test, "i-1", "ready", UNKNOWN_START);
+    ck_assert(is_usable(test, "i-1"));
+    ck_assert_uint_eq(test->catalog.unusable_count, 0);
+    free_test_catalog(test);
 }
 END_TEST
 
@@ -289,15 +290,15 @@
 {
     Suite *suite = suite_create("gateway: lives of backend servers");
     TCase *tests = tcase_create("lives");
-    tcase_add_test(tests, a_departure_binds_before_the_list_tells_it);
-    tcase_add_test(tests, a_departure_binds_an_entry_that_comes_after_it);
-    tcase_add_test(tests, the_list_tells_who_leaves_from_now_on);
-    tcase_add_test(tests, departures_are_forgotten_in_time);
-    tcase_add_test(tests, a_new_life_knows_nothing_of_the_old_one);
-    tcase_add_test(tests, late_news_of_an_old_life_changes_nothing);
-    tcase_add_test(tests, an_entry_that_does_not_tell_its_life_is_of_the_same);
-    tcase_add_test(tests, a_foreign_entry_names_no_backend_server);
-    tcase_add_test(tests, a_used_backend_whose_entry_cannot_be_read_gets_nothing);
+    tcase_add_test(tests, departure_applies_before_list_changes);
+    tcase_add_test(tests, departure_applies_to_later_stale_entry);
+    tcase_add_test(tests, list_change_reports_new_departures);
+    tcase_add_test(tests, departures_are_removed_after_timeout);
+    tcase_add_test(tests, new_incarnation_starts_with_clean_state);
+    tcase_add_test(tests, stale_update_of_old_incarnation_is_ignored);
+    tcase_add_test(tests, entry_without_start_time_is_same_incarnation);
+    tcase_add_test(tests, invalid_entry_adds_no_backend);
+    tcase_add_test(tests, backend_with_unreadable_entry_gets_no_requests);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_route_stats.c
+++ b/test/gateway/test_route_stats.c
@@ -5,7 +5,7 @@
 #include "test/suites.h"
 
 /* Found at an earlier reading: answers within the clock's millisecond left the median unknown. */
-START_TEST(an_answer_within_a_millisecond_is_an_answer)
+START_TEST(answer_within_a_millisecond_sets_median)
 {
     static route_stats_t stats;
     route_stats_count_answer(&stats, 7, 0);
@@ -14,7 +14,7 @@
 }
 END_TEST
 
-START_TEST(the_median_follows_in_small_steps)
+START_TEST(median_moves_in_small_steps)
 {
     static route_stats_t stats;
     route_stats_count_answer(&stats, 7, 100);
@@ -29,7 +29,7 @@
 END_TEST
 
 /* As many routes as a configuration has at most; all are used in turn. */
-START_TEST(many_routes_keep_what_was_measured)
+START_TEST(many_routes_keep_their_statistics)
 {
     enum { ROUTES = 10000, KEEP_PERCENT = 70 };
     static route_stats_t stats;
@@ -48,9 +48,9 @@
 {
     Suite *suite = suite_create("gateway: route stats");
     TCase *tests = tcase_create("route stats");
-    tcase_add_test(tests, an_answer_within_a_millisecond_is_an_answer);
-    tcase_add_test(tests, the_median_follows_in_small_steps);
-    tcase_add_test(tests, many_routes_keep_what_was_measured);
+    tcase_add_test(tests, answer_within_a_millisecond_sets_median);
+    tcase_add_test(tests, median_moves_in_small_steps);
+    tcase_add_test(tests, many_routes_keep_their_statistics);
     suite_add_tcase(suite, tests);
     return suite;
 }
