--- a/test/gateway/account_model.c
+++ b/test/gateway/account_model.c
@@ -12,17 +12,17 @@
 enum {
     STEP_MS = 5,
     REGIONS = 3,
-    REGION_LATENCY_MS = 5,        /* one way in a region, with the turns of two loops */
-    INTER_REGION_LATENCY_MS = 40, /* between regions */
+    REGION_LATENCY_MS = 5,        /* one-way latency in a region, including the loops */
+    INTER_REGION_LATENCY_MS = 40, /* one-way latency between regions */
     REPORT_MS = 50,
     ANSWER_MS = 250,
     AVOID_MS = 2500,
     REVIEW_MS = 1000,
-    UNREACHABLE_MS = 2000, /* silence after which a member counts as lost */
+    UNREACHABLE_MS = 2000, /* silence after which a member counts as unreachable */
     GOSSIP_MS = 440,       /* between heartbeats */
-    WINDOW_MS = 5000,      /* over which operators bound a limit */
-    QUEUE_SLOTS = 16,      /* steps that a message may take */
-    WARMUP_MS = 20000, /* instances have run for so long when callers come, unless all start then */
+    WINDOW_MS = 5000,      /* over which the excess is measured */
+    QUEUE_SLOTS = 16,      /* slots of the message queue, one for each step of latency */
+    WARMUP_MS = 20000, /* uptime of the instances at the first request, unless it is a cold start */
 };
 
 typedef enum { MESSAGE_REPORT, MESSAGE_GRANT, MESSAGE_EXCHANGE, MESSAGE_DEMAND } message_kind_t;
@@ -52,19 +52,19 @@
     unsigned region;
     bool up;
     bool stalled;
-    bool partitioned; /* on the smaller side of a cut */
+    bool partitioned; /* on the smaller side of a partition */
     unsigned incarnation;
-    unsigned queued; /* requests that came while it stood still */
+    unsigned queued; /* requests received during a stall */
     account_uses_t uses;
     ledgers_t ledgers;
-    uint64_t report_ms; /* 0: none is due */
+    uint64_t report_ms; /* next report; 0: none is due */
     uint64_t reviewed_ms;
     uint64_t *avoided_until;   /* by instance */
-    uint64_t *heard_ms;        /* heartbeats, by instance */
+    uint64_t *heard_ms;        /* last heartbeat, by instance */
     bool *refuses_connections; /* known to have ended, by instance */
     /* STRATEGY_GOSSIP */
     event_rate_t demand_rate;
-    double *demand; /* as told, by instance */
+    double *demand; /* last received, by instance */
     bucket_t bucket;
     uint64_t last_gossip_ms;
 } node_t;
@@ -83,7 +83,7 @@
     model_event_t event; /* in force */
 } model_t;
 
-/* ---- the way between instances ---- */
+/* ---- messages ---- */
 
 static bool
 can_reach(const model_t *model, unsigned from, unsigned to)
@@ -127,8 +127,8 @@
            model->now_ms - model->nodes[self].heard_ms[other] < (uint64_t)UNREACHABLE_MS;
 }
 
-/* The order in which instances of a region come to own the account: the first of each region, which
- * are the first to be struck, and then any. */
+/* Order in which a region's instances become owner: the first of each region, which events affect
+ * first, then the others at random. */
 static uint64_t
 owner_order(const model_t *model, unsigned index)
 {
@@ -136,8 +136,8 @@
     return index < REGIONS ? 0 : str_hash((str_t){(const char *)pair, sizeof(pair)}, 1) | 1U;
 }
 
-/* The owner in a region as `self` sees it, or who comes after that many others; the number of
- * instances if there is none. */
+/* The owner in a region as seen by `self`, or the successor number `rank`; the number of instances
+ * if there is none. */
 static unsigned
 region_owner(const model_t *model, unsigned self, unsigned region, unsigned rank)
 {
@@ -162,7 +162,7 @@
     return best;
 }
 
-/* The owner of the own region: the first of three that has answered. */
+/* The owner of the own region: the first of three that is not being avoided. */
 static unsigned
 local_owner(const model_t *model, unsigned self)
 {
@@ -199,7 +199,7 @@
            (model->now_ms < node->avoided_until[index] || !is_considered_alive(model, self, index));
 }
 
-/* A process that has ended is known by the connection that its machine refuses. */
+/* The end of a process is detected by a refused connection. */
 static void
 mark_refusing(model_t *model, unsigned self, unsigned other)
 {
@@ -350,7 +350,7 @@
         message_t passed_on = *message;
         passed_on.to = owner;
         if (!message->is_answer && owner < model->conf.instances) {
-            passed_on.is_answer = true; /* once */
+            passed_on.is_answer = true; /* at most once */
             passed_on.from = message->to;
             send_message(model, &passed_on);
         }
@@ -369,7 +369,8 @@
     if (leaves)
         message.exchange.demand_per_s = 0;
     message.exchange.region = node->region;
-    message.exchange.addr.v4.sin_port = (in_port_t)self; /* its number in place of an address */
+    message.exchange.addr.v4.sin_port =
+        (in_port_t)self; /* the instance's index instead of an address */
     for (unsigned region = 0; region < REGIONS; region++) {
         const unsigned rank = (unsigned)((model->now_ms - ledger->created_ms) / 100 % 8);
         bool heard = false;
@@ -435,7 +436,7 @@
     node->report_ms = more ? model->now_ms + REPORT_MS : 0;
 }
 
-/* ---- parts by demand, gossiped ---- */
+/* ---- gossip strategy ---- */
 
 static double
 demand_fraction(const model_t *model, unsigned self)
@@ -515,7 +516,7 @@
     model->admitted[model->now_ms / STEP_MS] += admitted;
 }
 
-/* An instance that gets callers and is up; the number of instances if there is none. */
+/* A random instance that is up and receives requests; the number of instances if there is none. */
 static unsigned
 random_instance(model_t *model)
 {
@@ -559,7 +560,7 @@
     }
 }
 
-/* ---- the fleet ---- */
+/* ---- fleet ---- */
 
 static void
 start_node(model_t *model, unsigned index)
@@ -580,7 +581,7 @@
 static bool
 is_affected(const model_t *model, unsigned index, double fraction)
 {
-    /* The same ones for an event, in each region: the owners are among them. */
+    /* An event always affects the first instances of each region, owners included. */
     const unsigned rank = index / REGIONS;
     return rank < fraction * model->conf.instances / REGIONS;
 }
@@ -689,7 +690,7 @@
     generate_requests(model);
 }
 
-/* What the rule of the operators bounds, with the highest limit in force during the window. */
+/* Measures the largest number of requests admitted in any window beyond the limit. */
 static void
 measure_windows(model_t *model)
 {
--- a/test/gateway/account_model.h
+++ b/test/gateway/account_model.h
@@ -1,9 +1,10 @@
 /*
- * A fleet that keeps one client account within its limit, in simulated time: no sockets, no loop.
+ * Simulation of a fleet that enforces the limit of one client account, without sockets or event
+ * loop.
  *
- * Instances, owners and messages are modelled; what they decide is the gateway's own code
- * (state/account_uses.h, state/account_ledgers.h and the policies). Beside it run the other ways
- * that were weighed, and the ideal bucket that sees each request at once.
+ * Instances and messages are simulated; decisions are made by the gateway's own code
+ * (state/account_uses.h, state/account_ledgers.h and the policies). Alternative strategies and an
+ * ideal shared bucket serve for comparison.
  */
 #pragma once
 
@@ -12,31 +13,32 @@
 #include <stdint.h>
 
 typedef enum {
-    STRATEGY_EVEN,   /* each instance has its part of the limit */
-    STRATEGY_GOSSIP, /* parts by demand, told every 440 ms and when a part is spent */
-    STRATEGY_OWNERS, /* the gateway's */
+    STRATEGY_EVEN,   /* each instance has an equal part of the limit */
+    STRATEGY_GOSSIP, /* parts by demand, gossiped every 440 ms and when a part is used up */
+    STRATEGY_OWNERS, /* as in the gateway */
 } model_strategy_t;
 
-/* What befalls the fleet, between two times in milliseconds. */
+/* An event that affects the fleet for a time. */
 typedef struct {
     uint64_t from_ms;
     uint64_t to_ms;
-    double surge;       /* times the usual rate; 0: as usual */
-    double partitioned; /* this part of each region hears only itself */
-    double killed;      /* this part is down */
-    double stalled;     /* this part stands still: its callers wait, and come all at once after */
-    bool moved;         /* callers are in the second region only */
-    double new_limit;   /* times the limit; 0: as before */
+    double surge;       /* load factor; 0: base load */
+    double partitioned; /* fraction of each region in a separate partition */
+    double killed;      /* fraction of each region that is down */
+    double
+        stalled; /* fraction of each region that is stalled; its requests are handled afterwards */
+    bool moved;  /* all callers use the second region */
+    double new_limit; /* factor of the limit; 0: unchanged */
 } model_event_t;
 
 typedef struct {
     model_strategy_t strategy;
     unsigned instances; /* over three regions */
-    unsigned spread;    /* instances of a region that get its callers; 0: all */
+    unsigned spread;    /* instances of each region that receive requests; 0: all */
     double rate_per_s;  /* the limit */
     double burst;
-    bool cold_start;  /* all instances start as callers come */
-    double base_load; /* usual rate, as a part of the limit */
+    bool cold_start;  /* all instances start with the first request */
+    double base_load; /* base load, relative to the limit */
     uint64_t length_ms;
     uint64_t seed;
     const model_event_t *events;
@@ -46,12 +48,12 @@
 typedef struct {
     unsigned requested;
     unsigned admitted;
-    unsigned ideal;        /* that one bucket would have admitted */
-    double window_excess;  /* most requests in 5 s beyond the limit's rate and burst */
-    double window_bound;   /* how many the operators bear: a tenth of these, and 20 */
+    unsigned ideal;        /* admitted by a single bucket */
+    double window_excess;  /* largest number of requests in 5 s beyond the limit's rate and burst */
+    double window_bound;   /* allowed excess: a tenth of rate and burst, plus 20 */
     double messages_per_s; /* of the whole fleet */
 } model_result_t;
 
 model_result_t model_run(const model_conf_t *conf);
-/* Requests refused below the limit, as a part of what one bucket would have admitted. */
+/* Requests refused below the limit, as a fraction of what a single bucket would have admitted. */
 double model_refused_below_limit(const model_result_t *result);
--- a/test/gateway/test_account_model.c
+++ b/test/gateway/test_account_model.c
@@ -1,10 +1,10 @@
 /*
- * The limit of a client account over all instances, in simulated time: how far it is exceeded in
- * the worst five seconds, and what is refused below it, at 9, 67 and 300 instances, under surges,
- * cuts, restarts and instances that stand still.
+ * The limit of a client account across instances, in simulated time: the largest excess in any five
+ * seconds and the requests refused below the limit, at 9, 67 and 300 instances, under surges,
+ * partitions, restarts and stalls.
  *
- * The bound is the operators': in every 5 s a tenth more than the limit's rate and burst, and 20
- * requests. ACCOUNT_MODEL_TABLE=1 in the environment prints what each way comes to.
+ * In any 5 s the excess may be a tenth of the limit's rate and burst plus 20 requests.
+ * ACCOUNT_MODEL_TABLE=1 in the environment prints a table of all strategies.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,9 +15,9 @@
 
 enum { SEEDS = 3, EVENTS_MAX = 3 };
 
-/* Below the limit at most this part may be refused: chance makes pairs and triples of requests. */
+/* Fraction of requests that may be refused below the limit, as random arrivals cluster. */
 #define REFUSED_MAX 0.01
-/* While instances are dead, and their callers come to others, as well. */
+/* The same while instances are down and their callers move to others. */
 #define REFUSED_DEGRADED_MAX 0.10
 
 typedef struct {
@@ -25,8 +25,8 @@
     model_event_t events[EVENTS_MAX];
     size_t event_count;
     bool cold_start;
-    double refused_max; /* 0: not judged: the account is beyond its limit, or cannot be told from
-                         one that is, in the other part of a cut fleet */
+    double refused_max; /* 0: not checked, since the account is over its limit or a partition hides
+                           that it is not */
 } scenario_t;
 
 static const scenario_t scenarios[] = {
@@ -146,9 +146,9 @@
     }
 }
 
-/* Plays that show a fault, which the test below plays: two sides of a cut, or instances that wake,
- * spend what was saved up at each of 300 instances beside what their owners count; owners that were
- * there only while others were dead are taken for silent. */
+/* Runs that exceed a bound, run by seeds_that_broke_a_limit_keep_it: the sides of a partition or
+ * stalled instances use saved tokens that their owners do not count; owners that existed only while
+ * others were down are taken for silent. */
 static const struct {
     size_t scenario;
     size_t fleet;
@@ -166,7 +166,7 @@
     return false;
 }
 
-/* What is wrong with a play; false if nothing. */
+/* Runs one scenario; true and a description in `out` if it exceeds a bound. */
 static bool
 exceeds_bounds(size_t scenario, size_t fleet, uint64_t seed, char *out, size_t size)
 {
--- a/test/gateway/test_accounts.c
+++ b/test/gateway/test_accounts.c
@@ -1,4 +1,4 @@
-/* Client accounts on the way of a request: keys, what goes on of them and what does not, limits. */
+/* Client accounts: keys of requests, what is forwarded of them, and limits. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -37,7 +37,7 @@
     return site;
 }
 
-/* `fields`: header lines, each with its end. */
+/* `fields`: header lines, each with its line end. */
 static reply_t
 request_with_fields(site_t *site, const char *path, const char *fields)
 {
@@ -116,7 +116,7 @@
         ck_assert_str_eq(reply.retry_after, "");
     }
     ck_assert_uint_eq(all_runs(site), 0);
-    /* The route is looked for first. */
+    /* The route is checked before the key. */
     ck_assert_int_eq(request_with_fields(site, "/none/x", "").status, 404);
 }
 END_TEST
@@ -159,7 +159,7 @@
 }
 END_TEST
 
-/* The news comes from a peer where the store serves one of two only. */
+/* The change arrives from a peer while one instance has no store. */
 START_TEST(revoked_key_is_refused_during_store_outage)
 {
     site_t *site = start_site(ACCOUNTS_JSON);
@@ -182,7 +182,7 @@
     site_t *site = start_site(ACCOUNTS_JSON);
     site->accounts = ACCOUNTS_SHARED_KEY;
     put_config(site, "/new/");
-    /* Nothing of it is in force; a request that it may know is told to come back. */
+    /* The configuration is not applied; requests that it might accept are told to retry. */
     RUN_UNTIL(site, request_with_fields(site, "/new/x", "Credential: k-acme-1\r\n").status == 503);
     ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k-acme-1\r\n").status, 200);
     ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k-new\r\n").status, 503);
@@ -231,7 +231,7 @@
             ck_assert(strtod(reply.retry_after, NULL) >= 0.1);
     }
     ck_assert_uint_ge(refused, REQUESTS / 2);
-    /* Another account does not notice. */
+    /* Other accounts are not affected. */
     ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k-acme-1\r\n").status, 200);
 }
 END_TEST
@@ -256,14 +256,14 @@
         served += request_with_fields(site, "/safe/x", "Credential: k-bolt-1\r\n").status == 200;
         RUN_UNTIL(site, uv_now(&site->loop) >= until);
     }
-    /* 3 s or more at 5 a second, a burst of 5, and what operators bear. */
+    /* At least 3 s at 5 a second, a burst of 5, and the allowed excess. */
     const double seconds = 1.5 * ROUNDS * EVERY_MS / 1000.0;
     ck_assert_uint_le(served, (unsigned)(1.1 * (5 * seconds + 5) + 20));
     ck_assert_uint_ge(served, 8);
 }
 END_TEST
 
-/* The whole of what instances write: their log, and the pages that operators see. */
+/* Covers the log and all admin pages. */
 START_TEST(key_is_never_logged_or_printed)
 {
     static const char *const pages[] = {"/metrics",
@@ -349,8 +349,8 @@
 }
 END_TEST
 
-/* Half of what it was lent is asked for, and the owner hears nothing: the room falls as if all were
- * spent, and what was not comes back when it is heard. */
+/* An instance that is silent is charged its whole share; what it did not use is refunded with its
+ * next report. */
 START_TEST(silent_instance_is_charged_its_share)
 {
     config_account_t account = {.id = 1, .rate_per_s = 10, .burst = 100};
@@ -373,8 +373,8 @@
 }
 END_TEST
 
-/* The owner before fell silent with a full bucket; the first instance that comes brings a small
- * part of the room, and asks for a hundredth of the limit. */
+/* The previous owner fell silent with a full bucket, and the first instance to report holds a small
+ * share of an account far below its limit. */
 START_TEST(new_owner_does_not_limit_account_far_below_limit)
 {
     config_account_t account = {.id = 1, .rate_per_s = 4000, .burst = 4000};
@@ -392,7 +392,7 @@
     ledger_report(ledger, 7, &report, 1000);
     ck_assert(ledger->bucket.tokens < 100);
     ck_assert(!ledger_update_limited(ledger, 1000));
-    /* One that was held to its shares stays so. */
+    /* An account that was limited stays limited. */
     ledger_t *limited_ledger = ledger_new(&account, 9, 1, 1000);
     report.tokens = 100;
     ledger_report(limited_ledger, 7, &report, 1000);
@@ -416,7 +416,7 @@
     account_uses_refund(&uses, use);
     account_uses_release(use);
     ck_assert_uint_eq(use->used, 2);
-    account.rate_per_s = 0; /* no limit, nothing kept */
+    account.rate_per_s = 0; /* no limit, no entry */
     ck_assert(account_uses_admit(&uses, &account, 0, 1000, &use, &retry_after_ms));
     ck_assert_ptr_null(use);
     account_uses_expire(&uses, 1000 + 60000);
@@ -425,8 +425,8 @@
 }
 END_TEST
 
-/* A member that gives no answer is passed over, one that has ended is none; all instances choose
- * alike. */
+/* Members that do not answer are skipped, members that have ended are ignored, and all instances
+ * make the same choice. */
 START_TEST(instances_choose_same_owner)
 {
     members_t members = {0};
@@ -448,7 +448,7 @@
     ck_assert_ptr_ne(next, owner);
     next->accounts_avoided_until_ms = 2000;
     owner_find(&input)->accounts_avoided_until_ms = 2000;
-    ck_assert_ptr_eq(owner_find(&input), owner); /* three are asked, and then the first again */
+    ck_assert_ptr_eq(owner_find(&input), owner); /* after three, the first one is tried again */
     owner->refuses = true;
     ck_assert_ptr_ne(owner_find(&input), owner);
     members_free(&members);
--- a/test/gateway/test_backend_leaving.c
+++ b/test/gateway/test_backend_leaving.c
@@ -1,13 +1,6 @@
 /*
- * A backend server that says in its answers that it leaves.
- *
- * What its owners saw: 2.7 s after it had said so in answers to two instances, each of them sent it
- * one more request; 58 came in the 12 s after. The store took its entry 13 s late, as it answered
- * nobody. The cause: an instance took a backend server for leaving when the list of the store said
- * so, and for no other reason; what the backend server itself said with each answer was not read.
- *
- * Evidence: the store took the entry at 20.4 s, and until then the backend server got 2 to 12
- * requests a second. In this test, where the entry says ready all the time, 58 more come in 3 s.
+ * A backend server that announces its shutdown in its answers must get no new requests, even while
+ * the store's list still says that it is ready.
  */
 #include <stdlib.h>
 
@@ -27,7 +20,7 @@
     ck_assert_uint_eq(ask_for(&fleet, fleet.count, SETTLE_MS), 0);
     const size_t before = leaving->arrival_count;
     ck_assert_uint_eq(ask_for(&fleet, fleet.count, SPAN_MS), 0);
-    put_backend(site, leaving, "ready"); /* a newer entry of the same life */
+    put_backend(site, leaving, "ready"); /* a newer entry of the same incarnation */
     put_config(site, NULL);
     ck_assert_uint_eq(ask_for(&fleet, fleet.count, SPAN_MS), 0);
     ck_assert_uint_eq(leaving->arrival_count, before);
@@ -40,7 +33,7 @@
     return gateway_backend(fleet->gateways[instance], str_from(fleet->site->backends[0].id));
 }
 
-/* One instance hears it and tells the others, while nobody hears the store. */
+/* One instance reads the announcement and sends it to the others while the store is unavailable. */
 START_TEST(leaving_is_gossiped_and_survives_store_outage)
 {
     instances_t fleet = new_instances(BACKENDS, INSTANCES);
@@ -52,7 +45,7 @@
     for (size_t i = 0; i < INSTANCES; i++)
         ck_assert(!backend_is_usable(backend_at(&fleet, i), uv_now(&site->loop)));
     const size_t before = leaving->arrival_count;
-    standin_store_forget(site->store); /* a new list is taken */
+    standin_store_forget(site->store); /* a new list is fetched */
     standin_store_set_mode(site->store, STANDIN_STORE_SERVES);
     ck_assert_uint_eq(ask_for(&fleet, fleet.count, SPAN_MS), 0);
     ck_assert_uint_eq(leaving->arrival_count, before);
@@ -108,7 +101,7 @@
 }
 END_TEST
 
-/* What cannot be served is refused at once, with a time to come back. */
+/* Requests are refused immediately, with a time to retry. */
 START_TEST(retry_after_when_all_backends_leave)
 {
     enum { LEAVING = 2 };
--- a/test/gateway/test_backend_limit.c
+++ b/test/gateway/test_backend_limit.c
@@ -1,14 +1,6 @@
 /*
- * A backend server that names a limit in its answers.
- *
- * What its owners saw: two backend servers in need said that they take 1.3 and 1.9 requests a
- * second from all instances together, and went on getting 4.6 and 5.1 a second as before, 20 in 4 s
- * where 13 are borne. The cause: of an answer's fields that tell of the backend server itself the
- * instances read its load and no other; none of them knew of the limit.
- *
- * Evidence: arrivals did not change for 17 s after the limit was named; one read by each instance
- * for itself would have held every one of nine to it. This test, where three instances ask for one
- * object of a backend server that names 2 a second, had 391 arrive in 4 s, where 17 are borne.
+ * A backend server that states a rate limit in its answers must not get more than that from all
+ * instances together, and the limit must be usable from any of them.
  */
 #include <stdlib.h>
 
@@ -23,9 +15,9 @@
     SETTLE_MS = 1000, /* the limit is known by then */
     WINDOW_MS = 4000,
     SPAN_MS = 5500,
-    /* One and a half times the limit, and five. */
+    /* One and a half times the limit, plus five. */
     WINDOW_MAX_ARRIVALS = LIMIT_PER_S * WINDOW_MS / 1000 * 3 / 2 + 5,
-    /* Eight tenths of what the limit offers. */
+    /* Eight tenths of the limit. */
     SPAN_MIN_ARRIVALS = LIMIT_PER_S * SPAN_MS / 1000 * 8 / 10,
 };
 
@@ -54,8 +46,7 @@
 }
 END_TEST
 
-/* All of an instance's requests are about all objects; the limited backend server is one of four.
- */
+/* Requests cover all objects; the limited backend server is one of four. */
 static instances_t
 new_limited(size_t instances, const char *says)
 {
@@ -127,10 +118,10 @@
         reply = ask_through(&fleet, i % 2, "/safe/x");
         refused += reply.status == 503;
         ck_assert(reply.status == 200 || strtod(reply.retry_after, NULL) > 0);
-        ck_assert_uint_lt(uv_now(&site->loop) - start_ms, 200); /* at once */
+        ck_assert_uint_lt(uv_now(&site->loop) - start_ms, 200); /* immediately */
     }
     ck_assert_uint_ge(refused, REQUESTS - 4);
-    /* Two a second and a half of tokens: the time that was told is true. */
+    /* After the stated time a request is served. */
     pass(site, (uint64_t)(1000 * strtod(reply.retry_after, NULL)));
     ck_assert_int_eq(ask_through(&fleet, (REQUESTS - 1) % 2, "/safe/x").status, 200);
 }
@@ -144,7 +135,8 @@
     *permit_requests += message->body_case == IRIS__ENVELOPE__BODY_PERMIT_REQUEST;
 }
 
-/* An instance that owns nearly everything, by its cores, and answers nothing. */
+/* Announces an instance that owns nearly all backends, due to its number of cores, and does not
+ * answer. */
 static void
 send_heartbeat(peer_hub_t *hub, const addr_t *own, const addr_t *to)
 {
@@ -185,15 +177,15 @@
     }
     ck_assert_uint_ge(permit_requests, 2);
     ck_assert_uint_le(permit_requests,
-                      ROUNDS * ROUND_MS / 500 + 2); /* one request in half a second waits */
+                      ROUNDS * ROUND_MS / 500 + 2); /* one request per half second waits */
     ck_assert_uint_le(site->backends[0].arrival_count, before + 1);
 }
 END_TEST
 
 START_TEST(retries_take_permits)
 {
-    /* The other three answer 500 to all: each request is repeated, half of them to the limited one.
-     */
+    /* The other three answer 500, so that every request is retried, half of them at the limited
+     * backend. */
     const instances_t fleet = new_limited(2, "Server-Limit: 2\r\n");
     site_t *site = fleet.site;
     for (size_t i = 1; i < BACKENDS; i++)
--- a/test/gateway/test_config.c
+++ b/test/gateway/test_config.c
@@ -1,4 +1,4 @@
-/* Configuration: which route a request belongs to. */
+/* Configuration: route look-up and the table of services. */
 #include <stdio.h>
 
 #include "gateway/state/services.h"
@@ -24,7 +24,7 @@
 }
 END_TEST
 
-/* Whatever the order in which they come, each is made once, found again, and stays where it is. */
+/* Pointers stay valid whatever the order of insertion. */
 START_TEST(services_get_returns_same_entry)
 {
     enum { COUNT = 50, STRIDE = 7 };
--- a/test/gateway/test_lives.c
+++ b/test/gateway/test_lives.c
@@ -1,4 +1,4 @@
-/* Backend servers that leave, start again under their id, or whose entry is of another writer. */
+/* Backend servers that are leaving, restart under the same id, or have an invalid entry. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -11,7 +11,7 @@
 
 enum { START_MS = 100000, ENTRIES_MAX = 3, UNKNOWN_START = 0 };
 
-/* A list of backend servers and the catalog that it is applied to, on a clock that stands still. */
+/* A list of backend servers and the catalog that it is applied to, with a fixed clock. */
 typedef struct {
     uv_loop_t loop;
     topology_t topology;
@@ -46,7 +46,7 @@
 
 static const removal_store_t healthy_store = {REMOVAL_NEVER, REMOVAL_NEVER};
 
-/* The list says this of a backend server from now on; `body` empty: nothing. */
+/* Changes one entry of the list; an empty `body` removes it. */
 static void
 put_raw_entry(test_catalog_t *test, const char *id, const char *body)
 {
@@ -62,7 +62,7 @@
     catalog_apply_backends(&test->catalog, &test->view, healthy_store);
 }
 
-/* An entry as a backend server writes it; `born` NOT_TOLD: without. */
+/* An entry as a backend server writes it; UNKNOWN_START leaves `born` out. */
 static char *
 entry_json(const char *state, unsigned long long born)
 {
@@ -116,12 +116,12 @@
         announce_departure(test, "i-1", test->revision + 5, gone);
         ck_assert(!is_usable(test, "i-1"));
         ck_assert(is_usable(test, "i-2"));
-        /* What the list said before that changes nothing, also if it comes later. */
+        /* Older states of the list change nothing, even if they arrive later. */
         put_entry(test, "i-1", "ready", UNKNOWN_START);
         ck_assert(!is_usable(test, "i-1"));
         put_entry(test, "i-2", "ready", UNKNOWN_START);
         ck_assert(!is_usable(test, "i-1"));
-        /* What it said after that does. */
+        /* Newer ones do. */
         test->revision += 10;
         put_entry(test, "i-1", "ready", UNKNOWN_START);
         ck_assert(is_usable(test, "i-1"));
@@ -151,7 +151,7 @@
     put_entry(test, "i-1", "draining", UNKNOWN_START);
     ck_assert_uint_eq(test->catalog.new_departures.count, 1);
     ck_assert(!test->catalog.new_departures.items[0].gone);
-    put_entry(test, "i-1", "draining", UNKNOWN_START); /* told before */
+    put_entry(test, "i-1", "draining", UNKNOWN_START); /* already reported */
     ck_assert_uint_eq(test->catalog.new_departures.count, 0);
     put_raw_entry(test, "i-2", "");
     ck_assert_uint_eq(test->catalog.new_departures.count, 1);
@@ -172,7 +172,7 @@
 }
 END_TEST
 
-/* ---- lives ---- */
+/* ---- incarnations ---- */
 
 START_TEST(new_incarnation_starts_with_clean_state)
 {
@@ -195,7 +195,7 @@
     ck_assert(!backend_is_cold(now, test->loop.time));
     ck_assert(now->health.weight == 0);
     ck_assert(!breaker_is_suspended(&now->breaker, test->loop.time));
-    /* An attempt at the old life ends there. */
+    /* Attempts at the old incarnation finish there. */
     ck_assert(!old->listed);
     backend_attempt_finished(old);
     ck_assert_uint_eq(now->in_flight, 0);
@@ -211,11 +211,11 @@
     const uint64_t old_revision = test->revision;
     put_entry(test, "i-1", "ready", 2000);
     const backend_t *now = find_backend(test, "i-1");
-    /* By the list, though it says so later than the new life's entry. */
+    /* From the list, at a revision after the new incarnation's entry. */
     put_entry(test, "i-1", "draining", 1000);
     ck_assert_ptr_eq(find_backend(test, "i-1"), now);
     ck_assert(is_usable(test, "i-1"));
-    /* By a peer's departures. */
+    /* From a peer's departures. */
     announce_departure(test, "i-1", old_revision, true);
     announce_departure(test, "i-1", old_revision, false);
     ck_assert(is_usable(test, "i-1"));
@@ -240,7 +240,7 @@
 }
 END_TEST
 
-/* ---- entries of another writer ---- */
+/* ---- invalid entries ---- */
 
 static const char *const invalid_entries[] = {
     "no JSON",
@@ -258,7 +258,7 @@
         ck_assert_ptr_null(find_backend(test, "i-2"));
         ck_assert(is_usable(test, "i-1"));
         ck_assert_uint_eq(test->catalog.unusable_count, 1);
-        /* It is looked at once. */
+        /* The entry is decoded only once. */
         put_entry(test, "i-1", "ready", UNKNOWN_START);
         ck_assert_uint_eq(test->catalog.unusable_count, 1);
         put_raw_entry(test, "i-2", "");
--- a/test/gateway/test_notices.c
+++ b/test/gateway/test_notices.c
@@ -1,4 +1,4 @@
-/* What backend servers tell of themselves: which notice holds, and what it does to choice. */
+/* Notices of backend servers: which one is in force, and how it affects the choice of backends. */
 #include "base/xmalloc.h"
 #include "gateway/policy/pass_over.h"
 #include "gateway/state/notices.h"
@@ -25,14 +25,14 @@
     notices_t notices = {0};
     notice_t update = make_limit_notice("i-1", 0, 2, 500);
     ck_assert(notices_merge(&notices, &update).limit);
-    /* The request was sent before the one that was answered with the limit. */
+    /* Its request was sent before the one answered with the limit. */
     update = make_limit_notice("i-1", 0, NONE, 400);
     ck_assert(!notices_merge(&notices, &update).limit);
     ck_assert(find_notice(&notices, 0)->limit.is_set);
     update = make_limit_notice("i-1", 0, 1, 450);
     ck_assert(!notices_merge(&notices, &update).limit);
     ck_assert_double_eq(find_notice(&notices, 0)->limit.per_s, 2);
-    /* A later one lifts it, and then an older one does not bring it back. */
+    /* A newer answer withdraws the limit, and an older one does not restore it. */
     update = make_limit_notice("i-1", 0, NONE, 700);
     ck_assert(notices_merge(&notices, &update).limit);
     update = make_limit_notice("i-1", 0, 2, 650);
@@ -67,7 +67,7 @@
     update = make_limit_notice("i-1", 20, 5, 600);
     notices_merge(&notices, &update);
     ck_assert(!find_notice(&notices, 20)->leaving);
-    update = make_limit_notice("i-1", 10, 1, 700); /* of the earlier life, late */
+    update = make_limit_notice("i-1", 10, 1, 700); /* late, of the earlier incarnation */
     update.leaving = true;
     notices_merge(&notices, &update);
     ck_assert_double_eq(find_notice(&notices, 20)->limit.per_s, 5);
@@ -129,12 +129,13 @@
     uint32_t wait_ms = 0;
     unsigned granted = 0;
     const permit_rate_t rate = named_limit_permits(5, 9, 9);
-    ck_assert(!permits_take(&permits, 1, rate, 1000, &wait_ms)); /* an owner begins with none */
+    ck_assert(
+        !permits_take(&permits, 1, rate, 1000, &wait_ms)); /* a new owner starts with no permits */
     ck_assert_uint_gt(wait_ms, 0);
     ck_assert(permits_take(&permits, 1, rate, 1000 + wait_ms, &wait_ms));
     while (permits_take(&permits, 1, rate, 1000 + STILL_MS, &wait_ms))
         granted++;
-    ck_assert_uint_le(granted, 5 + 2 * 5); /* what all instances together may hold */
+    ck_assert_uint_le(granted, 5 + 2 * 5); /* that all instances together may hold */
     ck_assert_uint_le(granted, (unsigned)rate.burst);
     permits_free(&permits);
 }
--- a/test/gateway/test_route_stats.c
+++ b/test/gateway/test_route_stats.c
@@ -1,10 +1,10 @@
-/* What is measured of each route. */
+/* Route statistics. */
 #include "base/str.h"
 #include "gateway/policy/slow.h"
 #include "gateway/state/route_stats.h"
 #include "test/suites.h"
 
-/* Found at an earlier reading: answers within the clock's millisecond left the median unknown. */
+/* An answer within the clock's millisecond must not leave the median unknown. */
 START_TEST(answer_within_a_millisecond_sets_median)
 {
     static route_stats_t stats;
@@ -23,12 +23,12 @@
     ck_assert_double_eq_tol(route_stats_median_ms(&stats, 7), 102, 1e-9);
     route_stats_count_answer(&stats, 7, 1);
     ck_assert_double_eq_tol(route_stats_median_ms(&stats, 7), 99.96, 1e-9);
-    /* Another route in the same slot starts anew. */
+    /* Another route in the same slot starts from zero. */
     ck_assert(route_stats_median_ms(&stats, 7 + ROUTE_STATS_SLOTS) == 0);
 }
 END_TEST
 
-/* As many routes as a configuration has at most; all are used in turn. */
+/* The maximum of routes in a configuration, all in use. */
 START_TEST(many_routes_keep_their_statistics)
 {
     enum { ROUTES = 10000, KEEP_PERCENT = 70 };
