--- a/test/gateway/main.c
+++ b/test/gateway/main.c
@@ -18,7 +18,7 @@
     srunner_add_suite(runner, suite_gateway_health());
     srunner_add_suite(runner, suite_gateway_cold_start());
     srunner_add_suite(runner, suite_gateway_retry());
-    srunner_add_suite(runner, suite_gateway_lives());
+    srunner_add_suite(runner, suite_gateway_backend_incarnations());
     srunner_add_suite(runner, suite_gateway_store_turns());
     srunner_add_suite(runner, suite_gateway_members());
     srunner_add_suite(runner, suite_gateway_log_ring());
--- a/test/gateway/test_lives.c
+++ b/test/gateway/test_backend_incarnations.c
@@ -286,10 +286,10 @@
 END_TEST
 
 Suite *
-suite_gateway_lives(void)
+suite_gateway_backend_incarnations(void)
 {
-    Suite *suite = suite_create("gateway: lives of backend servers");
-    TCase *tests = tcase_create("lives");
+    Suite *suite = suite_create("gateway: backend incarnations");
+    TCase *tests = tcase_create("backend incarnations");
     tcase_add_test(tests, departure_applies_before_list_changes);
     tcase_add_test(tests, departure_applies_to_later_stale_entry);
     tcase_add_test(tests, list_change_reports_new_departures);
--- a/test/suites.h
+++ b/test/suites.h
@@ -33,7 +33,7 @@
 Suite *suite_gateway_health(void);
 Suite *suite_gateway_cold_start(void);
 Suite *suite_gateway_retry(void);
-Suite *suite_gateway_lives(void);
+Suite *suite_gateway_backend_incarnations(void);
 Suite *suite_gateway_store_turns(void);
 Suite *suite_gateway_members(void);
 Suite *suite_gateway_log_ring(void);
