--- a/test/gateway/test_account_model.c
+++ b/test/gateway/test_account_model.c
@@ -30,8 +30,8 @@
 } scenario_t;
 
 static const scenario_t scenarios[] = {
-    {"usual", {{0}}, 0, false, REFUSED_MAX},
-    {"usual, all start", {{0}}, 0, true, REFUSED_MAX},
+    {"base load", {{0}}, 0, false, REFUSED_MAX},
+    {"base load, cold start", {{0}}, 0, true, REFUSED_MAX},
     {"callers move to another region",
      {{.from_ms = 8000, .to_ms = 14000, .moved = true}},
      1,
@@ -44,20 +44,20 @@
      2,
      false,
      0},
-    {"a sixth cut off", {{.from_ms = 6000, .to_ms = 12000, .partitioned = 0.17}}, 1, false, 0},
-    {"half cut off", {{.from_ms = 6000, .to_ms = 12000, .partitioned = 0.5}}, 1, false, 0},
+    {"a sixth partitioned", {{.from_ms = 6000, .to_ms = 12000, .partitioned = 0.17}}, 1, false, 0},
+    {"half partitioned", {{.from_ms = 6000, .to_ms = 12000, .partitioned = 0.5}}, 1, false, 0},
     {"three fifths restart",
      {{.from_ms = 8000, .to_ms = 10000, .killed = 0.6}},
      1,
      false,
      REFUSED_DEGRADED_MAX},
-    {"a sixth cut off in a surge",
+    {"a sixth partitioned in a surge",
      {{.from_ms = 5000, .to_ms = 14000, .surge = 7.5},
       {.from_ms = 8000, .to_ms = 12000, .partitioned = 0.17}},
      2,
      false,
      0},
-    {"surge as half is cut off",
+    {"surge, half partitioned",
      {{.from_ms = 6000, .to_ms = 14000, .surge = 7.5},
       {.from_ms = 6000, .to_ms = 12000, .partitioned = 0.5}},
      2,
@@ -75,7 +75,7 @@
      2,
      false,
      0},
-    {"a fifth stands still",
+    {"a fifth stalled in a surge",
      {{.from_ms = 5000, .to_ms = 14000, .surge = 7.5},
       {.from_ms = 8000, .to_ms = 10500, .stalled = 0.2}},
      2,
@@ -175,10 +175,11 @@
     const model_result_t result = model_run(&conf);
     const double refused_max = scenarios[scenario].refused_max;
     const bool is_checked = refused_max > 0 && fleets[fleet].burst > 0;
-    snprintf(
-        out, size, "%s, %u instances, %.0f/s, seed %u: %.0f beyond of %.0f, %.3f refused below",
-        scenarios[scenario].name, fleets[fleet].instances, fleets[fleet].rate_per_s, (unsigned)seed,
-        result.window_excess, result.window_bound, model_refused_below_limit(&result));
+    snprintf(out, size,
+             "%s, %u instances, %.0f/s, seed %u: excess %.0f of %.0f, refused below limit %.3f",
+             scenarios[scenario].name, fleets[fleet].instances, fleets[fleet].rate_per_s,
+             (unsigned)seed, result.window_excess, result.window_bound,
+             model_refused_below_limit(&result));
     return result.window_excess > result.window_bound ||
            (is_checked && model_refused_below_limit(&result) > refused_max);
 }
