--- a/gateway/state/account_ledger.h
+++ b/gateway/state/account_ledger.h
@@ -59,8 +59,7 @@
     double region_per_s;       /* share of the region */
     double reporting_per_s;    /* part of the region's share held by instances that report here */
     double assumed_used;       /* requests charged by assumption for the other instances */
-    bool other_regions_silent; /* no other region has been heard; the rest of the rate is reserved
-                                  for them */
+    bool other_regions_silent; /* no other region was heard; the rest of the rate is theirs */
 } ledger_inherited_t;
 
 typedef struct {
--- a/gateway/state/account_uses.h
+++ b/gateway/state/account_uses.h
@@ -25,9 +25,8 @@
     uint64_t acked_used; /* count acknowledged by an owner */
     uint64_t owner;      /* incarnation of the instance last reported to */
     uint64_t last_report_ms;
-    uint64_t owner_unanswered_since_ms; /* when the oldest unanswered report to `owner` was sent */
-    uint64_t
-        unanswered_since_ms; /* when the oldest unanswered report to any owner was sent; 0: none */
+    uint64_t owner_unanswered_since_ms; /* oldest unanswered report to `owner` */
+    uint64_t unanswered_since_ms;       /* oldest unanswered report; 0: none */
     uint64_t last_request_ms;
     uint32_t refs;        /* requests that hold the entry */
     bool report_due;      /* there is something to report */
--- a/gateway/state/backends.h
+++ b/gateway/state/backends.h
@@ -8,8 +8,7 @@
 #include "gateway/membership/topology.h"
 #include "gateway/state/backend.h"
 
-typedef struct uv_loop_s
-    uv_loop_t; /* from libuv, whose header is not included here to keep it out of gateway/policy */
+typedef struct uv_loop_s uv_loop_t; /* keeps libuv's header out of gateway/policy */
 
 typedef struct {
     backend_t **items; /* sorted by id */
--- a/gateway/state/catalog.h
+++ b/gateway/state/catalog.h
@@ -32,8 +32,7 @@
     const decoder_port_t *decoder;
     config_t *config; /* NULL until one is known */
     refused_config_t refused;
-    uint64_t newer_revision; /* revision of a newer configuration held by a peer or not decoded yet;
-                                0: none known */
+    uint64_t newer_revision; /* of a configuration at a peer or not decoded yet; 0: none */
     backends_t backends;
     bool backends_known;          /* a complete list has been applied */
     departures_t departures;      /* announced by peers before the list changed */
