--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -45,7 +45,7 @@
         const backend_t *backend = router->catalog.backends.items[i];
         leaving += backend_is_leaving(backend) || backend->hall_closed || backend->replaced;
         limited += backend->limit.is_set;
-        resting += rest_is_on(&backend->rest, now);
+        resting += rest_is_on(&backend->backoff, now);
         cold += backend_is_cold(backend, now);
         avoided += health_is_avoided(&backend->health, now);
         suspended += breaker_is_suspended(&backend->breaker, now);
--- a/gateway/membership/notice_news.c
+++ b/gateway/membership/notice_news.c
@@ -69,7 +69,7 @@
 has_untold(const notices_t *notices)
 {
     for (size_t i = 0; i < notices->count; i++) {
-        if (notices->items[i].unpublished)
+        if (notices->items[i].unsent)
             return true;
     }
     return false;
@@ -89,9 +89,9 @@
     message.items = list;
     for (size_t i = 0; i < notices->count; i++) {
         notice_t *notice = &notices->items[i];
-        if (!notice->unpublished)
+        if (!notice->unsent)
             continue;
-        notice->unpublished = false;
+        notice->unsent = false;
         notice_message_fill(&items[message.n_items], notice, now_ms);
         list[message.n_items] = &items[message.n_items];
         message.n_items++;
--- a/gateway/policy/pass_over.c
+++ b/gateway/policy/pass_over.c
@@ -5,7 +5,7 @@
 {
     if (backend->stated_leaving)
         return PASSED_LEAVES;
-    if (!rest_allows(&backend->rest, now_ms))
+    if (!rest_allows(&backend->backoff, now_ms))
         return PASSED_RESTS;
     if (backend->limit.is_set && (!may_ask || now_ms < backend->next_permit_ms))
         return PASSED_AT_LIMIT;
@@ -17,8 +17,8 @@
 {
     if (backend->stated_leaving)
         return 0;
-    if (rest_is_on(&backend->rest, now_ms))
-        return backend->rest.until_ms - now_ms;
+    if (rest_is_on(&backend->backoff, now_ms))
+        return backend->backoff.until_ms - now_ms;
     if (backend->limit.is_set && now_ms < backend->next_permit_ms)
         return backend->next_permit_ms - now_ms;
     return 0;
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -293,16 +293,16 @@
 take_rest(router_t *router, backend_t *backend, const answer_notice_t *notice)
 {
     const uint64_t now_ms = loop_now(router->loop);
-    const bool rested = backend->rest.until_ms > 0;
-    if (notice->said->asks_rest) {
-        if (!rest_is_on(&backend->rest, now_ms))
+    const bool rested = backend->backoff.until_ms > 0;
+    if (notice->said->has_backoff) {
+        if (!rest_is_on(&backend->backoff, now_ms))
             LOG_INFO("backend asks for rest: id=%s rest_ms=%llu", backend->info.id.ptr,
-                     (unsigned long long)notice->said->rest_ms);
-        rest_ask(&backend->rest, notice->said->rest_ms, now_ms);
+                     (unsigned long long)notice->said->backoff_ms);
+        rest_ask(&backend->backoff, notice->said->backoff_ms, now_ms);
         return;
     }
-    rest_attempt_ended(&backend->rest, notice->sent_ms, notice->ran);
-    if (rested && backend->rest.until_ms == 0)
+    rest_attempt_ended(&backend->backoff, notice->sent_ms, notice->ran);
+    if (rested && backend->backoff.until_ms == 0)
         LOG_INFO("backend has rested: id=%s", backend->info.id.ptr);
 }
 
@@ -341,7 +341,7 @@
 router_attempt_finished(router_t *router, service_t *service, backend_t *backend, uint64_t sent_ms)
 {
     service_attempt_finished(service, loop_now(router->loop));
-    rest_attempt_ended(&backend->rest, sent_ms, false);
+    rest_attempt_ended(&backend->backoff, sent_ms, false);
     backend_attempt_finished(backend);
 }
 
--- a/gateway/state/backend.c
+++ b/gateway/state/backend.c
@@ -122,7 +122,7 @@
     backend->in_flight++;
     backend->sends++;
     breaker_attempt_started(&backend->breaker);
-    rest_attempt_started(&backend->rest);
+    rest_attempt_started(&backend->backoff);
 }
 
 void
--- a/gateway/state/backend.h
+++ b/gateway/state/backend.h
@@ -51,7 +51,7 @@
     bool hall_closed;            /* its data hall is closed and must get no requests */
     bool replaced;               /* another backend answers at its address */
     bool stated_leaving;         /* it announced its shutdown in an answer; never reset */
-    rest_t rest;                 /* pause that it asked this instance for */
+    rest_t backoff;              /* pause that it asked this instance for */
     backend_limit_t limit;       /* rate limit that it stated in its answers */
     double plan_slots;           /* slots assigned by region plans while it has a limit; 0: all */
     uint64_t next_permit_ms;     /* earliest time of the next permit request */
--- a/gateway/state/catalog_notices.c
+++ b/gateway/state/catalog_notices.c
@@ -70,7 +70,7 @@
     if (!change.limit && !change.leaving)
         return;
     if (source != NOTICE_FROM_ANSWER)
-        notices_mark_published(&catalog->notices, name_str(&news->backend));
+        notices_mark_sent(&catalog->notices, name_str(&news->backend));
     else if (catalog->on_notice != NULL)
         catalog->on_notice(catalog->ctx);
 }
--- a/gateway/state/notices.c
+++ b/gateway/state/notices.c
@@ -17,7 +17,7 @@
 
 /* Relative change above which a limit is published again. A backend server may state another limit
  * in each answer. */
-#define PUBLISH_THRESHOLD 0.2
+#define RESEND_THRESHOLD 0.2
 
 typedef struct {
     const notices_t *notices;
@@ -92,7 +92,7 @@
 {
     if (before->is_set != now->is_set)
         return true;
-    return now->is_set && fabs(now->per_s - before->per_s) > PUBLISH_THRESHOLD * before->per_s;
+    return now->is_set && fabs(now->per_s - before->per_s) > RESEND_THRESHOLD * before->per_s;
 }
 
 static bool
@@ -101,10 +101,10 @@
     if (limit->stated_ms == 0 || limit->stated_ms < notice->limit.stated_ms)
         return false;
     notice->limit = *limit;
-    if (!is_significant(&notice->published_limit, limit))
+    if (!is_significant(&notice->sent_limit, limit))
         return false;
-    notice->published_limit = *limit;
-    notice->unpublished = true;
+    notice->sent_limit = *limit;
+    notice->unsent = true;
     return true;
 }
 
@@ -119,18 +119,18 @@
     if (news->leaving && !notice->leaving) {
         notice->leaving = true;
         notice->leaving_since_ms = news->leaving_since_ms;
-        notice->unpublished = true;
+        notice->unsent = true;
         change.leaving = true;
     }
     return change;
 }
 
 void
-notices_mark_published(notices_t *notices, str_t backend)
+notices_mark_sent(notices_t *notices, str_t backend)
 {
     notice_t *notice = entry_at(notices, lower_bound(notices, backend), backend);
     if (notice != NULL)
-        notice->unpublished = false;
+        notice->unsent = false;
 }
 
 static uint64_t
--- a/gateway/state/notices.h
+++ b/gateway/state/notices.h
@@ -22,8 +22,8 @@
     bool has_limit;
     double limit_per_s; /* requests a second from all instances together */
     bool leaving;
-    bool asks_rest; /* it refused the request and wants none from this instance for rest_ms */
-    uint64_t rest_ms;
+    bool has_backoff; /* it refused the request and wants none from this instance for rest_ms */
+    uint64_t backoff_ms;
     unsigned unusable; /* number of fields that cannot be used */
 } backend_statement_t;
 
@@ -39,9 +39,9 @@
     uint64_t born;  /* start of the incarnation; 0: unknown */
     backend_limit_t limit;
     bool leaving;
-    uint64_t leaving_since_ms;       /* loop time */
-    backend_limit_t published_limit; /* the limit last published */
-    bool unpublished; /* the limit or the shutdown is to be sent to other instances */
+    uint64_t leaving_since_ms;  /* loop time */
+    backend_limit_t sent_limit; /* the limit last published */
+    bool unsent;                /* the limit or the shutdown is to be sent to other instances */
 } notice_t;
 
 typedef struct {
@@ -62,7 +62,7 @@
  * shutdown. */
 notice_change_t notices_merge(notices_t *notices, const notice_t *news);
 /* Marks the backend's entry, if any, as known to other instances. */
-void notices_mark_published(notices_t *notices, str_t backend);
+void notices_mark_sent(notices_t *notices, str_t backend);
 /* Periodic work: removes entries that no backend server has confirmed for long. Notices from peers
  * keep their age, so that peers do not refresh each other's entries. */
 void notices_expire(notices_t *notices, uint64_t now_ms);
--- a/test/gateway/test_platform.c
+++ b/test/gateway/test_platform.c
@@ -111,20 +111,20 @@
 START_TEST(reads_what_a_backend_says_of_itself)
 {
     backend_statement_t said = read_notice(200, "Server-Limit", "1.25", NULL);
-    ck_assert(said.has_limit && said.limit_per_s == 1.25 && !said.leaving && !said.asks_rest);
+    ck_assert(said.has_limit && said.limit_per_s == 1.25 && !said.leaving && !said.has_backoff);
     said = read_notice(200, "server-limit", " 0 ", NULL);
     ck_assert(said.has_limit && said.limit_per_s == 0 && said.unusable == 0);
     said = read_notice(503, "Server-Leaving", "1", NULL);
-    ck_assert(said.leaving && !said.has_limit && !said.asks_rest);
+    ck_assert(said.leaving && !said.has_limit && !said.has_backoff);
     said = read_notice(503, "Retry-After", "0.5", NULL);
-    ck_assert(said.asks_rest && said.rest_ms == 500);
+    ck_assert(said.has_backoff && said.backoff_ms == 500);
     said = read_notice(429, "Retry-After", "3", NULL);
-    ck_assert(said.asks_rest && said.rest_ms == 3000);
+    ck_assert(said.has_backoff && said.backoff_ms == 3000);
     /* Only one that turns a request away asks for rest. */
     said = read_notice(200, "Retry-After", "3", NULL);
-    ck_assert(!said.asks_rest && said.unusable == 0);
+    ck_assert(!said.has_backoff && said.unusable == 0);
     said = read_notice(503, "Retry-After", "0", NULL);
-    ck_assert(!said.asks_rest && said.unusable == 0);
+    ck_assert(!said.has_backoff && said.unusable == 0);
     said = read_notice(200, "Server-Leaving", "0", NULL);
     ck_assert(!said.leaving && said.unusable == 0);
 }
@@ -139,11 +139,12 @@
     for (size_t k = 0; k < ALEN(names); k++) {
         for (size_t i = 0; i < ALEN(bad); i++) {
             const backend_statement_t said = read_notice(503, names[k], bad[i], NULL);
-            ck_assert_msg(!said.has_limit && !said.leaving && !said.asks_rest && said.unusable == 1,
+            ck_assert_msg(!said.has_limit && !said.leaving && !said.has_backoff &&
+                              said.unusable == 1,
                           "%s: %s", names[k], bad[i]);
         }
         const backend_statement_t twice = read_notice(503, names[k], "1", "1");
-        ck_assert(!twice.has_limit && !twice.leaving && !twice.asks_rest && twice.unusable == 1);
+        ck_assert(!twice.has_limit && !twice.leaving && !twice.has_backoff && twice.unusable == 1);
     }
 }
 END_TEST
