--- a/gateway/state/catalog.h
+++ b/gateway/state/catalog.h
@@ -37,7 +37,7 @@
     bool backends_known;          /* a complete list has been applied */
     departures_t departures;      /* announced by peers before the list changed */
     notices_t notices;            /* statements of backends in their answers */
-    void (*on_notice)(void *ctx); /* a notice is to be published to other instances */
+    void (*on_notice)(void *ctx); /* a notice is to be sent to other instances */
     void *ctx;
     departures_t new_departures; /* found by the last change of the list */
     uint64_t *unusable;          /* revisions of entries that could not be read, ascending */
@@ -61,7 +61,7 @@
                               removal_store_t store);
 /* Where a notice comes from. */
 typedef enum {
-    NOTICE_FROM_ANSWER, /* the backend itself; the notice is to be published */
+    NOTICE_FROM_ANSWER, /* the backend itself; the notice is to be sent */
     NOTICE_FROM_PEER,
     NOTICE_FROM_PERMIT, /* a permit request or its answer */
 } notice_source_t;
--- a/gateway/state/notices.c
+++ b/gateway/state/notices.c
@@ -15,7 +15,7 @@
     RETENTION_MS = 300000,
 };
 
-/* Relative change above which a limit is published again. A backend server may state another limit
+/* Relative change above which a limit is sent again. A backend server may state another limit
  * in each answer. */
 #define RESEND_THRESHOLD 0.2
 
--- a/gateway/state/notices.h
+++ b/gateway/state/notices.h
@@ -22,7 +22,7 @@
     bool has_limit;
     double limit_per_s; /* requests a second from all instances together */
     bool leaving;
-    bool has_backoff; /* it refused the request and wants none from this instance for rest_ms */
+    bool has_backoff; /* it refused the request and wants none from this instance for backoff_ms */
     uint64_t backoff_ms;
     unsigned unusable; /* number of fields that cannot be used */
 } backend_statement_t;
@@ -40,7 +40,7 @@
     backend_limit_t limit;
     bool leaving;
     uint64_t leaving_since_ms;  /* loop time */
-    backend_limit_t sent_limit; /* the limit last published */
+    backend_limit_t sent_limit; /* as last sent to other instances */
     bool unsent;                /* the limit or the shutdown is to be sent to other instances */
 } notice_t;
 
