--- a/gateway/state/account_lease.c
+++ b/gateway/state/account_lease.c
@@ -236,8 +236,8 @@
 static double
 share_of_tokens(ledger_t *ledger, double share_per_s, uint64_t now_ms)
 {
-    const double room = fmax(0, bucket_tokens(&ledger->bucket, now_ms));
-    return ledger->bucket.rate > 0 ? room * fmin(1, share_per_s / ledger->bucket.rate) : 0;
+    const double tokens = fmax(0, bucket_tokens(&ledger->bucket, now_ms));
+    return ledger->bucket.rate > 0 ? tokens * fmin(1, share_per_s / ledger->bucket.rate) : 0;
 }
 
 /* Marks instances and peers that became silent and charges their part of the tokens. Returns the
