--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -43,9 +43,9 @@
     int64_t resting = 0;
     for (size_t i = 0; i < router->catalog.backends.count; i++) {
         const backend_t *backend = router->catalog.backends.items[i];
-        leaving += backend_is_leaving(backend) || backend->hall_closed || backend->departed;
-        limited += backend->limit.named;
-        resting += backoff_is_active(&backend->rest, now);
+        leaving += backend_is_leaving(backend) || backend->hall_closed || backend->replaced;
+        limited += backend->limit.is_set;
+        resting += backoff_is_active(&backend->backoff, now);
         cold += backend_is_cold(backend, now);
         avoided += health_is_avoided(&backend->health, now);
         suspended += breaker_is_suspended(&backend->breaker, now);
@@ -103,7 +103,7 @@
     int64_t silent = 0;
     for (size_t i = 0; i < uses->count; i++) {
         limited += uses->items[i]->gate.limited;
-        silent += !account_use_in_touch(uses->items[i], loop_now(accounts->conf.loop));
+        silent += !account_use_is_connected(uses->items[i], loop_now(accounts->conf.loop));
     }
     set_gauge("irisstall_accounts_in_use", "Client accounts with a limit whose callers came here.",
               (int64_t)uses->count);
@@ -126,7 +126,7 @@
               (int64_t)router->catalog.refused.revision);
     set_gauge("irisstall_config_left_out",
               "Routes and services of the configuration in force that could not be read.",
-              router->catalog.config != NULL ? (int64_t)config_left_out(router->catalog.config)
+              router->catalog.config != NULL ? (int64_t)config_skipped_count(router->catalog.config)
                                              : 0);
     set_gauge("irisstall_instances_living", "Instances heard of, this one too.",
               router->live_instances);
--- a/gateway/membership/account_exchange.c
+++ b/gateway/membership/account_exchange.c
@@ -106,7 +106,7 @@
         .kind = OWNER_OF_ACCOUNT,
         .key = ledger->id,
         .region = region,
-        .rank = (now_ms - ledger->begun_ms) / CANDIDATE_TRY_MS % OWNER_RANKS,
+        .rank = (now_ms - ledger->created_ms) / CANDIDATE_TRY_MS % OWNER_RANKS,
         .now_ms = now_ms,
     };
     const member_t *member = owner_find(&input);
@@ -125,11 +125,11 @@
     sum.source = exchange.source;
     sum.used = exchange.used;
     sum.age_ms = (uint32_t)exchange.age_ms;
-    sum.asked_per_s = is_release ? 0 : (float)exchange.asked_per_s;
-    sum.room = (float)exchange.room;
+    sum.asked_per_s = is_release ? 0 : (float)exchange.demand_per_s;
+    sum.room = (float)exchange.tokens;
     for (size_t i = 0; i < ledger->peer_count; i++) {
         const ledger_peer_t *peer = &ledger->peers[i];
-        if (now_ms - peer->heard_ms > PEER_EXPIRE_MS)
+        if (now_ms - peer->last_exchange_ms > PEER_EXPIRE_MS)
             continue;
         heard[peer->region] = true;
         queue_push(queue, &peer->addr, &sum);
@@ -188,8 +188,8 @@
         .addr = *from,
         .used = sum->used,
         .age_ms = sum->age_ms,
-        .asked_per_s = sum->asked_per_s,
-        .room = sum->room,
+        .demand_per_s = sum->asked_per_s,
+        .tokens = sum->room,
     };
     ledger_exchange(ledgers_get(&sync->ledgers, account, now_ms), &exchange, now_ms);
     return true;
--- a/gateway/membership/account_grant.c
+++ b/gateway/membership/account_grant.c
@@ -16,7 +16,7 @@
     out->limited = grant.limited;
     out->share_per_s = (float)grant.share_per_s;
     out->region_per_s = (float)grant.region_per_s;
-    out->room = (float)grant.room;
+    out->room = (float)grant.tokens;
 }
 
 static void
@@ -53,8 +53,8 @@
     const config_account_t *account = account_sync_find_account(sync, ledger->id);
     LOG_INFO("account %s: account=%s rate_per_s=%.1f room=%.1f instances=%zu",
              ledger->limited ? "at its limit" : "below its limit",
-             account != NULL ? account->name.ptr : "-", ledger->room.rate, ledger->room.tokens,
-             ledger->user_count);
+             account != NULL ? account->name.ptr : "-", ledger->bucket.rate, ledger->bucket.tokens,
+             ledger->reporter_count);
 }
 
 /* Also reaches instances that have not seen the account yet; otherwise each of them could admit one
@@ -73,7 +73,7 @@
 {
     for (size_t i = 0; i < sync->conf.members->count; i++) {
         const member_t *member = &sync->conf.members->items[i];
-        if (accepts_grants(sync, member) && !ledger_has_user(ledger, member->incarnation))
+        if (accepts_grants(sync, member) && !ledger_has_reporter(ledger, member->incarnation))
             send_grant(sync, member, ledger);
     }
 }
@@ -81,7 +81,7 @@
 bool
 account_grant_update_limited(account_sync_t *sync, ledger_t *ledger)
 {
-    const bool changed = ledger_decide(ledger, account_sync_now(sync));
+    const bool changed = ledger_update_limited(ledger, account_sync_now(sync));
     if (changed) {
         log_limited(sync, ledger);
         send_grants_to_region(sync, ledger);
@@ -101,16 +101,16 @@
     if (use->leaves) {
         ledger_t *ledger = ledgers_find(&sync->ledgers, use->account);
         if (ledger != NULL)
-            ledger_forget_user(ledger, source);
+            ledger_remove_reporter(ledger, source);
     } else if (account != NULL) {
         const ledger_report_t report = {
             .used = use->used,
-            .asked = use->asked,
-            .told_used = use->told_used,
-            .told = use->owner != 0,
+            .requested = use->asked,
+            .acked_used = use->told_used,
+            .has_grant = use->owner != 0,
             .owner = use->owner,
-            .owner_silent = use->owner_silent,
-            .room = use->room,
+            .owner_unreachable = use->owner_silent,
+            .tokens = use->room,
             .share_per_s = use->share_per_s,
             .region_per_s = use->region_per_s,
         };
--- a/gateway/membership/account_report.c
+++ b/gateway/membership/account_report.c
@@ -53,7 +53,7 @@
         return;
     if (grant->in_place_of != 0 && use->owner == grant->in_place_of) {
         account_report_avoid_owner(sync, use->owner);
-        use->due = true;
+        use->report_due = true;
         account_report_schedule(sync);
     }
     if (use->owner == 0)
@@ -61,9 +61,9 @@
     if (use->owner != owner)
         return;
     if (grant->has_told) {
-        use->told_used = grant->told_used;
-        use->waiting_ms = 0;
-        use->unanswered_ms = 0;
+        use->acked_used = grant->told_used;
+        use->unanswered_since_ms = 0;
+        use->owner_unanswered_since_ms = 0;
     }
     if (grant->unknown) {
         use->gate = (account_limiter_t){0};
@@ -71,8 +71,8 @@
     }
     account_limiter_set_share(&use->gate, grant->limited, grant->share_per_s,
                               account_sync_now(sync));
-    use->told_owner = owner;
-    use->room = grant->room;
+    use->grant_owner = owner;
+    use->tokens = grant->room;
     use->region_per_s = grant->region_per_s;
     if (grant->limited)
         account_report_schedule(sync);
@@ -116,11 +116,11 @@
     iris__account_use__init(out);
     out->account = use->id;
     out->used = use->used;
-    out->asked = use->asked;
-    out->told_used = use->told_used;
-    out->owner = use->told_owner;
-    out->owner_silent = is_silent(sync, use->told_owner);
-    out->room = (float)use->room;
+    out->asked = use->requested;
+    out->told_used = use->acked_used;
+    out->owner = use->grant_owner;
+    out->owner_silent = is_silent(sync, use->grant_owner);
+    out->room = (float)use->tokens;
     out->share_per_s = (float)use->gate.share_per_s;
     out->region_per_s = (float)use->region_per_s;
 }
@@ -176,7 +176,8 @@
 static bool
 is_unanswered(const account_use_t *use, uint64_t now_ms)
 {
-    return use->unanswered_ms != 0 && now_ms - use->unanswered_ms > ANSWER_TIMEOUT_MS;
+    return use->owner_unanswered_since_ms != 0 &&
+           now_ms - use->owner_unanswered_since_ms > ANSWER_TIMEOUT_MS;
 }
 
 /* Tells the previous owner that this instance reports elsewhere, so that it does not treat the
@@ -201,18 +202,18 @@
     if (is_unanswered(use, now_ms)) {
         if (account_report_avoid_owner(sync, use->owner))
             LOG_INFO("account owner does not answer: account=%s after_ms=%llu", use->name.ptr,
-                     (unsigned long long)(now_ms - use->unanswered_ms));
-    } else if (!account_use_is_due(use, now_ms))
+                     (unsigned long long)(now_ms - use->owner_unanswered_since_ms));
+    } else if (!account_use_report_is_due(use, now_ms))
         return false;
     member_t *owner = account_exchange_find_owner(sync, use->id);
-    use->due = false;
-    use->sent_ms = now_ms;
-    if (use->waiting_ms == 0)
-        use->waiting_ms = now_ms;
+    use->report_due = false;
+    use->last_report_ms = now_ms;
+    if (use->unanswered_since_ms == 0)
+        use->unanswered_since_ms = now_ms;
     if (owner == NULL)
         return false;
-    if (use->unanswered_ms == 0 || use->owner != owner->incarnation)
-        use->unanswered_ms = now_ms;
+    if (use->owner_unanswered_since_ms == 0 || use->owner != owner->incarnation)
+        use->owner_unanswered_since_ms = now_ms;
     if (use->owner != owner->incarnation)
         release_previous_owner(sync, use);
     use->owner = owner->incarnation;
@@ -243,7 +244,7 @@
 {
     for (size_t i = 0; i < uses->count; i++) {
         const account_use_t *use = uses->items[i];
-        if (use->due || use->waiting_ms != 0 || use->gate.limited)
+        if (use->report_due || use->unanswered_since_ms != 0 || use->gate.limited)
             return true;
     }
     return false;
@@ -263,7 +264,7 @@
 on_report_timer(uv_timer_t *timer)
 {
     account_sync_t *sync = timer->data;
-    if (account_sync_now(sync) - sync->ledgers.begun_ms >= START_DELAY_MS)
+    if (account_sync_now(sync) - sync->ledgers.started_ms >= START_DELAY_MS)
         report_all(sync);
     if (has_pending_reports(sync->conf.uses))
         uv_timer_start(&sync->report_timer, on_report_timer, REPORT_INTERVAL_MS, 0);
--- a/gateway/membership/account_sync.c
+++ b/gateway/membership/account_sync.c
@@ -40,8 +40,8 @@
     const account_sync_t *sync = ctx;
     const member_t *member = account_sync_find_member(sync, source);
     if (member == NULL || member->refuses_connections)
-        return SOURCE_GONE;
-    return member_alive(member, account_sync_now(sync)) ? SOURCE_LIVES : SOURCE_LOST;
+        return SOURCE_ENDED;
+    return member_alive(member, account_sync_now(sync)) ? SOURCE_ALIVE : SOURCE_UNREACHABLE;
 }
 
 static void
@@ -79,7 +79,7 @@
 {
     const member_t *owner = account_exchange_find_owner(sync, ledger->id);
     return owner != NULL && !addr_eq(&owner->peer, &sync->conf.own) &&
-           ledger_is_deserted(ledger, account_sync_now(sync));
+           ledger_has_no_reporters(ledger, account_sync_now(sync));
 }
 
 static void
@@ -89,7 +89,7 @@
     const config_account_t *account = account_sync_find_account(sync, ledger->id);
     if (account != NULL)
         ledger_set_limit(ledger, account, now_ms);
-    ledger_review(ledger, view, now_ms);
+    ledger_expire_leases(ledger, view, now_ms);
     account_grant_update_limited(sync, ledger);
     if (ledger->limited)
         account_grant_send_to_nonusers(sync, ledger);
@@ -112,7 +112,8 @@
     account_report_avoid_owner(sync, member->incarnation);
     sync->reviewed_ms = 0; /* review on the next tick */
     for (size_t i = 0; i < sync->conf.uses->count; i++)
-        sync->conf.uses->items[i]->due |= sync->conf.uses->items[i]->owner == member->incarnation;
+        sync->conf.uses->items[i]->report_due |=
+            sync->conf.uses->items[i]->owner == member->incarnation;
     account_report_schedule(sync);
 }
 
@@ -141,7 +142,7 @@
 account_sync_init(account_sync_t *sync, const account_sync_conf_t *conf)
 {
     *sync = (account_sync_t){.conf = *conf};
-    sync->ledgers.begun_ms = account_sync_now(sync);
+    sync->ledgers.started_ms = account_sync_now(sync);
     sync->ledgers.source = conf->incarnation;
     uv_timer_init(conf->loop, &sync->report_timer);
     uv_timer_init(conf->loop, &sync->ledger_timer);
--- a/gateway/membership/notice_gossip.c
+++ b/gateway/membership/notice_gossip.c
@@ -69,7 +69,7 @@
 has_unsent(const notices_t *notices)
 {
     for (size_t i = 0; i < notices->count; i++) {
-        if (notices->items[i].untold)
+        if (notices->items[i].unsent)
             return true;
     }
     return false;
@@ -89,9 +89,9 @@
     message.items = list;
     for (size_t i = 0; i < notices->count; i++) {
         notice_t *notice = &notices->items[i];
-        if (!notice->untold)
+        if (!notice->unsent)
             continue;
-        notice->untold = false;
+        notice->unsent = false;
         notice_message_fill(&items[message.n_items], notice, now_ms);
         list[message.n_items] = &items[message.n_items];
         message.n_items++;
@@ -112,7 +112,7 @@
     for (size_t i = 0; i < count; i++) {
         notice_t notice;
         if (notice_message_read(items[i], &notice, now_ms))
-            catalog_take_notice(gossip->conf.catalog, &notice, NOTICE_OF_PEER);
+            catalog_merge_notice(gossip->conf.catalog, &notice, NOTICE_FROM_PEER);
     }
 }
 
--- a/gateway/membership/permit_exchange.c
+++ b/gateway/membership/permit_exchange.c
@@ -114,10 +114,10 @@
 static bool
 take_permit(permit_exchange_t *exchange, const notice_t *notice, uint32_t *wait_ms)
 {
-    if (!notice->limit.named)
+    if (!notice->limit.is_set)
         return true;
     const permit_rate_t rate = compute_rate(exchange, notice->limit.per_s);
-    const uint64_t life = backend_life(name_str(&notice->backend), notice->born);
+    const uint64_t life = backend_incarnation_hash(name_str(&notice->backend), notice->born);
     return permits_take(&exchange->permits, life, rate, current_ms(exchange), wait_ms);
 }
 
@@ -188,7 +188,7 @@
     if (message->notice == NULL ||
         !notice_message_read(message->notice, &notice, current_ms(exchange)))
         return;
-    catalog_take_notice(exchange->conf.catalog, &notice, NOTICE_OF_PERMIT);
+    catalog_merge_notice(exchange->conf.catalog, &notice, NOTICE_FROM_PERMIT);
     if (!forward(exchange, message, &notice))
         send_answer(exchange, conn, message, &notice);
 }
@@ -202,7 +202,7 @@
         .backend = backend->info.id,
         .born = backend->info.born,
         .limit = backend->limit,
-        .leaves = backend->says_leaving,
+        .leaving = backend->stated_leaving,
     };
 }
 
@@ -215,7 +215,7 @@
     pending->number = ++exchange->last_number;
     pending->requested_ms = current_ms(exchange);
     pending->backend = backend_ref(backend);
-    backend->permits_asked++;
+    backend->permits_pending++;
     exchange->pending = pending;
     return pending;
 }
@@ -227,7 +227,7 @@
     while (*slot != pending)
         slot = &(*slot)->next;
     *slot = pending->next;
-    pending->backend->permits_asked--;
+    pending->backend->permits_pending--;
     backend_unref(pending->backend);
     free(pending);
 }
@@ -235,7 +235,7 @@
 static void
 defer_requests(const permit_exchange_t *exchange, backend_t *backend, uint32_t wait_ms)
 {
-    backend->permit_from_ms = current_ms(exchange) + (wait_ms > 0 ? wait_ms : 1);
+    backend->next_permit_ms = current_ms(exchange) + (wait_ms > 0 ? wait_ms : 1);
 }
 
 static permit_result_t
@@ -260,7 +260,7 @@
     }
     if (is_self(exchange, owner))
         return acquire_from_self(exchange, backend);
-    if (backend->permits_asked >= PENDING_MAX)
+    if (backend->permits_pending >= PENDING_MAX)
         return PERMIT_REFUSED;
     char address[ADDR_TEXT_MAX];
     Iris__PermitRequest message = IRIS__PERMIT_REQUEST__INIT;
@@ -315,7 +315,7 @@
     remove_pending(pending);
     if (message->notice != NULL &&
         notice_message_read(message->notice, &notice, current_ms(exchange)))
-        catalog_take_notice(exchange->conf.catalog, &notice, NOTICE_OF_PERMIT);
+        catalog_merge_notice(exchange->conf.catalog, &notice, NOTICE_FROM_PERMIT);
     cb(ctx, granted);
 }
 
--- a/gateway/path/completion.c
+++ b/gateway/path/completion.c
@@ -14,11 +14,11 @@
     const attempt_t *attempt = &ex->attempt;
     xassert(backend != NULL);
     const lateness_input_t input = {
-        .objective_ms = ex->route->aim_ms,
+        .objective_ms = ex->route->latency_objective_ms,
         .elapsed_ms = now - ex->req->begun_ms,
         .attempt_ms = now - attempt->sent_ms,
         .prior_wait_ms = ex->prior_wait_ms,
-        .typical_ms = backend->work_ms,
+        .typical_ms = backend->service_time_ms,
         .slow_ms = attempt->slow_ms,
         .queued = attempt->queued,
         .slots_full = attempt->slots_full,
--- a/gateway/path/dispatch.c
+++ b/gateway/path/dispatch.c
@@ -84,7 +84,7 @@
 static permit_result_t
 get_permit(exchange_t *ex, backend_t *backend)
 {
-    if (!backend->limit.named)
+    if (!backend->limit.is_set)
         return PERMIT_GRANTED;
     const permit_result_t verdict =
         permit_acquire(ex->owner->permits, backend, on_permit, ex, &ex->permit);
@@ -224,7 +224,7 @@
 }
 
 void
-dispatch_on_backend_notice(void *ctx, const backend_said_t *said, bool ran)
+dispatch_on_backend_notice(void *ctx, const backend_statement_t *said, bool ran)
 {
     const exchange_t *ex = ctx;
     const response_notice_t notice = {.said = said, .sent_ms = ex->attempt.sent_ms, .ran = ran};
--- a/gateway/path/exchange_state.c
+++ b/gateway/path/exchange_state.c
@@ -55,7 +55,7 @@
     if (ex->account_use == NULL)
         return;
     if (ex->account_admitted && ex->possible_runs == 0)
-        account_uses_give_back(ex->owner->account_uses, ex->account_use);
+        account_uses_refund(ex->owner->account_uses, ex->account_use);
     account_uses_release(ex->account_use);
     ex->account_use = NULL;
 }
--- a/gateway/policy/backend_skip.c
+++ b/gateway/policy/backend_skip.c
@@ -3,11 +3,11 @@
 skip_reason_t
 backend_skip_reason(const backend_t *backend, bool may_request_permit, uint64_t now_ms)
 {
-    if (backend->says_leaving)
+    if (backend->stated_leaving)
         return SKIP_LEAVING;
-    if (!backoff_allows(&backend->rest, now_ms))
+    if (!backoff_allows(&backend->backoff, now_ms))
         return SKIP_BACKOFF;
-    if (backend->limit.named && (!may_request_permit || now_ms < backend->permit_from_ms))
+    if (backend->limit.is_set && (!may_request_permit || now_ms < backend->next_permit_ms))
         return SKIP_RATE_LIMITED;
     return SKIP_NONE;
 }
@@ -15,12 +15,12 @@
 uint64_t
 backend_skip_wait_ms(const backend_t *backend, uint64_t now_ms)
 {
-    if (backend->says_leaving)
+    if (backend->stated_leaving)
         return 0;
-    if (backoff_is_active(&backend->rest, now_ms))
-        return backend->rest.until_ms - now_ms;
-    if (backend->limit.named && now_ms < backend->permit_from_ms)
-        return backend->permit_from_ms - now_ms;
+    if (backoff_is_active(&backend->backoff, now_ms))
+        return backend->backoff.until_ms - now_ms;
+    if (backend->limit.is_set && now_ms < backend->next_permit_ms)
+        return backend->next_permit_ms - now_ms;
     return 0;
 }
 
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -113,12 +113,12 @@
     const backends_t *backends = &router->catalog.backends;
     for (size_t i = 0; i < backends->count; i++) {
         backend_t *backend = backends->items[i];
-        if (!backend->limit.named)
+        if (!backend->limit.is_set)
             continue;
         const service_t *service =
             services_find(&router->services, name_str(&backend->info.service));
         const double answer_ms = service != NULL ? service->latency_ms : 0;
-        backend->room =
+        backend->plan_slots =
             rate_limit_usable_slots(backend->limit.per_s, backend->info.capacity, answer_ms);
     }
 }
@@ -244,7 +244,7 @@
     input.tried = request->tried;
     input.tried_count = request->tried_count;
     input.request = (admission_request_t){
-        .objective_ms = route->aim_ms,
+        .objective_ms = route->latency_objective_ms,
         .left_ms = request->left_ms,
         .median_ms = route_stats_median_ms(&router->routes, route->key),
         .lost_ms = request->prior_wait_ms,
@@ -265,7 +265,8 @@
         choice_input(router, route, service, known != NULL ? &known->plan : &no_plan, object);
     input.has_object = true;
     input.may_request_permit = true;
-    input.request = (admission_request_t){.objective_ms = route->aim_ms, .left_ms = UINT32_MAX};
+    input.request =
+        (admission_request_t){.objective_ms = route->latency_objective_ms, .left_ms = UINT32_MAX};
     return input;
 }
 
@@ -293,42 +294,42 @@
 apply_backoff(router_t *router, backend_t *backend, const response_notice_t *notice)
 {
     const uint64_t now_ms = loop_now(router->loop);
-    const bool was_in_backoff = backend->rest.until_ms > 0;
-    if (notice->said->asks_rest) {
-        if (!backoff_is_active(&backend->rest, now_ms))
+    const bool was_in_backoff = backend->backoff.until_ms > 0;
+    if (notice->said->has_backoff) {
+        if (!backoff_is_active(&backend->backoff, now_ms))
             LOG_INFO("backend requested backoff: id=%s rest_ms=%llu", backend->info.id.ptr,
-                     (unsigned long long)notice->said->rest_ms);
-        backoff_request(&backend->rest, notice->said->rest_ms, now_ms);
+                     (unsigned long long)notice->said->backoff_ms);
+        backoff_request(&backend->backoff, notice->said->backoff_ms, now_ms);
         return;
     }
-    backoff_attempt_ended(&backend->rest, notice->sent_ms, notice->ran);
-    if (was_in_backoff && backend->rest.until_ms == 0)
+    backoff_attempt_ended(&backend->backoff, notice->sent_ms, notice->ran);
+    if (was_in_backoff && backend->backoff.until_ms == 0)
         LOG_INFO("backend backoff ended: id=%s", backend->info.id.ptr);
 }
 
 void
 router_apply_notice(router_t *router, backend_t *backend, const response_notice_t *notice)
 {
-    const backend_said_t *said = notice->said;
+    const backend_statement_t *said = notice->said;
     apply_backoff(router, backend, notice);
     if (said->unusable > 0)
         catalog_count_unusable_notice(backend, said->unusable);
     /* A response that refuses the request may omit the limit, so only executed requests clear it.
      * */
-    const bool limit_known = said->names_limit || notice->ran;
+    const bool limit_known = said->has_limit || notice->ran;
     const notice_t news = {
         .backend = backend->info.id,
         .born = backend->info.born,
         .limit =
             {
-                .named = said->names_limit,
+                .is_set = said->has_limit,
                 .per_s = said->limit_per_s,
-                .said_ms = limit_known ? notice->sent_ms : 0,
+                .stated_ms = limit_known ? notice->sent_ms : 0,
             },
-        .leaves = said->leaves,
-        .leaves_ms = loop_now(router->loop),
+        .leaving = said->leaving,
+        .leaving_since_ms = loop_now(router->loop),
     };
-    catalog_take_notice(&router->catalog, &news, NOTICE_OF_ANSWER);
+    catalog_merge_notice(&router->catalog, &news, NOTICE_FROM_ANSWER);
 }
 
 void
@@ -342,7 +343,7 @@
 router_attempt_finished(router_t *router, service_t *service, backend_t *backend, uint64_t sent_ms)
 {
     service_attempt_finished(service, loop_now(router->loop));
-    backoff_attempt_ended(&backend->rest, sent_ms, false);
+    backoff_attempt_ended(&backend->backoff, sent_ms, false);
     backend_attempt_finished(backend);
 }
 
@@ -358,7 +359,7 @@
 router_slow_ms(router_t *router, const config_route_t *route)
 {
     const double median_ms = route_stats_median_ms(&router->routes, route->key);
-    return slow_after_ms(route->aim_ms, median_ms);
+    return slow_after_ms(route->latency_objective_ms, median_ms);
 }
 
 retry_context_t
--- a/gateway/state/catalog.c
+++ b/gateway/state/catalog.c
@@ -10,8 +10,8 @@
 #include "gateway/state/catalog.h"
 #include "wire/client.h"
 
-/* Added to the cold time of a service for backends whose data hall opens again: their own entries
- * tell later that they are cold. Chosen, not measured (docs/design/gateway/cold-start.md). */
+/* Added to a service's cold time for backends of a reopened data hall, until their own entries
+ * report their cold time. */
 enum { REOPEN_MARGIN_MS = 500 };
 
 void
@@ -38,7 +38,7 @@
 /* ---- configuration ---- */
 
 void
-catalog_bound_connections(const catalog_t *catalog, backend_t *backend)
+catalog_limit_connections(const catalog_t *catalog, backend_t *backend)
 {
     const config_service_t *service = catalog_service_of(catalog, backend);
     if (service == NULL)
@@ -52,7 +52,7 @@
 bound_all_connections(catalog_t *catalog)
 {
     for (size_t i = 0; i < catalog->backends.count; i++)
-        catalog_bound_connections(catalog, catalog->backends.items[i]);
+        catalog_limit_connections(catalog, catalog->backends.items[i]);
 }
 
 void
@@ -67,16 +67,16 @@
 bool
 catalog_is_behind(const catalog_t *catalog)
 {
-    const bool in_part = catalog->config != NULL && catalog->config->routes_left_out > 0;
-    return in_part || catalog->refused.revision > 0 || catalog->newer_at > 0;
+    const bool in_part = catalog->config != NULL && catalog->config->routes_skipped > 0;
+    return in_part || catalog->refused.revision > 0 || catalog->newer_revision > 0;
 }
 
-/* What was in force before stays. */
+/* Keeps the configuration in force. */
 static void
 refuse_config(catalog_t *catalog, uint64_t revision, const err_t *err)
 {
-    LOG_ERR("configuration not usable: revision=%llu err=%s detail=%s",
-            (unsigned long long)revision, err_name(err->code), err->detail);
+    LOG_ERR("configuration unusable: revision=%llu err=%s detail=%s", (unsigned long long)revision,
+            err_name(err->code), err->detail);
     catalog->refused = (refused_config_t){.revision = revision, .err = *err};
 }
 
@@ -117,9 +117,9 @@
         cold_start_begin_unknown(&backend->cold_tokens, now_ms);
 }
 
-/* Its data hall gets requests again; it may have lost its memory meanwhile. */
+/* The backend's data hall is open again. Its caches may be lost, so it counts as cold. */
 static void
-reopen(catalog_t *catalog, backend_t *backend, uint64_t now_ms)
+reopen_hall(catalog_t *catalog, backend_t *backend, uint64_t now_ms)
 {
     const config_service_t *service = catalog_service_of(catalog, backend);
     const uint64_t cold_ms = service != NULL ? service->cold_ms : 0;
@@ -131,20 +131,20 @@
 catalog_apply_closures(catalog_t *catalog, const view_t *view)
 {
     const uint64_t now_ms = loop_now(catalog->loop);
-    size_t lines = 0;
+    size_t changes = 0;
     for (size_t i = 0; i < catalog->backends.count; i++) {
         backend_t *backend = catalog->backends.items[i];
         const bool closed = view_find(view, name_str(&backend->info.hall)) != NULL;
         if (backend->hall_closed == closed)
             continue;
         if (!closed)
-            reopen(catalog, backend, now_ms);
-        if (lines++ < CATALOG_LINES_MAX)
-            LOG_INFO("data hall of a backend %s: id=%s hall=%s at=%llu", closed ? "closed" : "open",
+            reopen_hall(catalog, backend, now_ms);
+        if (changes++ < CATALOG_LOG_LINES_MAX)
+            LOG_INFO("data hall of backend %s: id=%s hall=%s at=%llu", closed ? "closed" : "open",
                      backend->info.id.ptr, backend->info.hall.ptr, (unsigned long long)view->at);
         backend->hall_closed = closed;
     }
-    catalog_log_unsaid("data halls of backends", lines);
+    catalog_log_suppressed("data halls of backends", changes);
 }
 
 void
@@ -155,36 +155,36 @@
         const backend_t *backend = catalog->backends.items[i];
         if (backend->region < catalog->topology->region_count &&
             name_eq(&backend->info.service, service) && backend_is_usable(backend, now_ms))
-            slots[backend->region] += backend_room(backend);
+            slots[backend->region] += backend_plan_slots(backend);
     }
 }
 
 void
-catalog_log_unsaid(const char *what, size_t lines)
+catalog_log_suppressed(const char *what, size_t changes)
 {
-    if (lines > CATALOG_LINES_MAX)
-        LOG_INFO("more changes at once than lines: of=\"%s\" changes=%zu lines=%d", what, lines,
-                 CATALOG_LINES_MAX);
+    if (changes > CATALOG_LOG_LINES_MAX)
+        LOG_INFO("log lines suppressed: of=\"%s\" changes=%zu lines=%d", what, changes,
+                 CATALOG_LOG_LINES_MAX);
 }
 
-/* Logs which backends are avoided from now on, and which are no longer. */
+/* Logs changes in which backends are avoided. */
 static void
 log_avoided(catalog_t *catalog, uint64_t now_ms)
 {
-    size_t lines = 0;
+    size_t changes = 0;
     for (size_t i = 0; i < catalog->backends.count; i++) {
         backend_t *backend = catalog->backends.items[i];
         const bool avoided = health_is_avoided(&backend->health, now_ms);
         if (avoided == backend->logged_avoided)
             continue;
         backend->logged_avoided = avoided;
-        if (lines++ < CATALOG_LINES_MAX)
+        if (changes++ < CATALOG_LOG_LINES_MAX)
             LOG_INFO("backend %s: id=%s service=%s failure_rate=%.2f outcomes=%.1f",
                      avoided ? "avoided" : "no longer avoided", backend->info.id.ptr,
                      backend->info.service.ptr, backend->health.failure_rate,
                      backend->health.weight);
     }
-    catalog_log_unsaid("avoided backends", lines);
+    catalog_log_suppressed("avoided backends", changes);
 }
 
 void
--- a/gateway/state/catalog_backends.c
+++ b/gateway/state/catalog_backends.c
@@ -1,11 +1,11 @@
 /*
- * The part of the catalog that keeps the list of backend servers.
+ * Catalog: the list of backend servers.
  *
- * An entry is ordered by the pair of the life that it tells of (`born`) and the store's revision. A
- * newer life ends all that was learned of the one before: it is another backend_t, with connections
- * of its own. An entry that cannot be read names no backend server to use, also under the id of one
- * that is in use: what it said may have been that the server leaves, and a request that is sent
- * elsewhere costs the caller less than one that is sent to a server that has gone.
+ * Entries are ordered by incarnation (`born`), then by the store's revision. A newer incarnation is
+ * a new backend_t with its own connections, and nothing learned of the previous one is kept. An
+ * entry that cannot be read makes the backend under its id unusable: the entry may have announced a
+ * shutdown, and sending requests elsewhere costs the caller less than sending them to a server that
+ * has gone.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -18,51 +18,51 @@
 #include "base/xmalloc.h"
 #include "gateway/state/catalog.h"
 
-/* One change of the list, or one message of departures, while it is taken in. */
+/* State while applying one change of the list or one message of departures. */
 typedef struct {
     catalog_t *catalog;
     uint64_t now_ms;
-    uint64_t at; /* the store's revision that the list leads up to; 0 for departures */
+    uint64_t list_revision; /* store revision of the list; 0 for departures */
     removal_input_t removal;
-    size_t lines; /* that could have been logged */
+    size_t lines; /* counted without regard to the maximum */
 } change_t;
 
 static bool
-has_line(change_t *change)
+may_log(change_t *change)
 {
-    return change->lines++ < CATALOG_LINES_MAX;
+    return change->lines++ < CATALOG_LOG_LINES_MAX;
 }
 
 static void
-note_departure(change_t *change, const backend_t *backend, bool gone)
+record_departure(change_t *change, const backend_t *backend, bool gone)
 {
-    if (change->at == 0)
-        return; /* a peer has told it to all */
-    const departure_t departure = {backend->info.id, change->at, gone, change->now_ms};
-    departures_add(&change->catalog->fresh, &departure);
+    if (change->list_revision == 0)
+        return; /* a peer has announced it to all instances */
+    const departure_t departure = {backend->info.id, change->list_revision, gone, change->now_ms};
+    departures_add(&change->catalog->new_departures, &departure);
 }
 
 static void
-log_entry(change_t *change, const backend_info_t *info, uint64_t revision, bool is_new)
+log_backend(change_t *change, const backend_info_t *info, uint64_t revision, bool is_new)
 {
-    if (is_new && has_line(change))
-        LOG_INFO("backend known: id=%s service=%s hall=%s capacity=%u cold_ms=%u leaving=%d",
+    if (is_new && may_log(change))
+        LOG_INFO("backend added: id=%s service=%s hall=%s capacity=%u cold_ms=%u leaving=%d",
                  info->id.ptr, info->service.ptr, info->hall.ptr, info->capacity, info->cold_ms,
                  info->leaving);
-    else if (!is_new && has_line(change))
+    else if (!is_new && may_log(change))
         LOG_INFO("backend leaving: id=%s revision=%llu", info->id.ptr,
                  (unsigned long long)revision);
 }
 
 static void
-remove_after(change_t *change, backend_t *backend, removal_t removal)
+remove_with_grace(change_t *change, backend_t *backend, removal_t removal)
 {
     if (backend->remove_at_ms != 0)
         return;
     backend->remove_at_ms = change->now_ms + removal.grace_ms;
-    note_departure(change, backend, true);
-    if (has_line(change))
-        LOG_INFO("backend not listed any more: id=%s grace_ms=%llu reason=%s since_return_ms=%lld "
+    record_departure(change, backend, true);
+    if (may_log(change))
+        LOG_INFO("backend no longer listed: id=%s grace_ms=%llu reason=%s since_return_ms=%lld "
                  "since_failure_ms=%lld",
                  backend->info.id.ptr, (unsigned long long)removal.grace_ms,
                  removal_reason_name(removal.reason),
@@ -70,11 +70,11 @@
                  (long long)change->removal.store.since_failure_ms);
 }
 
-/* The backend is gone from the list. */
+/* The backend is missing from the list. */
 static void
 schedule_removal(change_t *change, backend_t *backend)
 {
-    remove_after(change, backend, removal_decide(&change->removal));
+    remove_with_grace(change, backend, removal_decide(&change->removal));
 }
 
 /* ---- entries ---- */
@@ -95,13 +95,13 @@
                    by_revision) != NULL;
 }
 
-/* The entry names no backend server; one that had this id gets nothing new. */
+/* The entry cannot be read. A backend with its id gets no new requests. */
 static void
-drop_entry(change_t *change, const view_item_t *item, const err_t *err)
+reject_entry(change_t *change, const view_item_t *item, const err_t *err)
 {
     catalog_t *catalog = change->catalog;
-    if (has_line(change))
-        LOG_WARN("backend entry not usable: id=%s revision=%llu err=%s detail=%s", item->name,
+    if (may_log(change))
+        LOG_WARN("backend entry unusable: id=%s revision=%llu err=%s detail=%s", item->name,
                  (unsigned long long)item->revision, err_name(err->code), err->detail);
     catalog->unusable =
         xrealloc(catalog->unusable, (catalog->unusable_count + 1) * sizeof(*catalog->unusable));
@@ -109,20 +109,20 @@
     qsort(catalog->unusable, catalog->unusable_count, sizeof(*catalog->unusable), by_revision);
     backend_t *backend = backends_find(&catalog->backends, str_from(item->name));
     if (backend != NULL)
-        remove_after(change, backend, (removal_t){.reason = REMOVAL_UNUSABLE});
+        remove_with_grace(change, backend, (removal_t){.reason = REMOVAL_UNUSABLE});
 }
 
-/* Takes the backend out whose life has ended; attempts under way keep theirs. */
+/* Removes the backend of an earlier incarnation. Attempts in progress keep their references. */
 static void
-end_life(change_t *change, const backend_t *backend, const backend_info_t *info)
+remove_previous_incarnation(change_t *change, const backend_t *backend, const backend_info_t *info)
 {
-    if (has_line(change))
+    if (may_log(change))
         LOG_INFO("backend restarted: id=%s born=%llu before=%llu", info->id.ptr,
                  (unsigned long long)info->born, (unsigned long long)backend->info.born);
     backends_remove(&change->catalog->backends, name_str(&info->id));
 }
 
-/* Adds the backend, or changes the one of that life. */
+/* Adds the backend, or updates the one of the same incarnation. */
 static void
 put_entry(change_t *change, backend_info_t *info, uint64_t revision)
 {
@@ -138,13 +138,13 @@
     if (!was_cold)
         catalog_pace_cold(catalog, backend, change->now_ms);
     if (is_new) {
-        catalog_bound_connections(catalog, backend);
+        catalog_limit_connections(catalog, backend);
         catalog_apply_notice(catalog, backend);
     }
     if (info->leaving && !was_leaving)
-        note_departure(change, backend, false);
+        record_departure(change, backend, false);
     if (is_new || (info->leaving && !was_leaving))
-        log_entry(change, info, revision, is_new);
+        log_backend(change, info, revision, is_new);
 }
 
 /* Applies a new or changed entry. */
@@ -156,20 +156,20 @@
     backend_info_t info;
     err_t err = {0};
     if (!catalog->decoder->backend(id, (str_t){item->body, item->body_len}, &info, &err)) {
-        drop_entry(change, item, &err);
+        reject_entry(change, item, &err);
         return;
     }
     backend_t *known = backends_find(&catalog->backends, id);
-    if (known != NULL && backend_life_order(info.born, known->info.born) < 0) {
-        known->revision = item->revision; /* news of an earlier life changes nothing */
+    if (known != NULL && backend_incarnation_order(info.born, known->info.born) < 0) {
+        known->revision = item->revision; /* an earlier incarnation; ignored */
         return;
     }
-    if (known != NULL && backend_life_order(info.born, known->info.born) > 0)
-        end_life(change, known, &info);
+    if (known != NULL && backend_incarnation_order(info.born, known->info.born) > 0)
+        remove_previous_incarnation(change, known, &info);
     put_entry(change, &info, item->revision);
 }
 
-/* ---- the list ---- */
+/* ---- list ---- */
 
 static bool
 is_gone(const catalog_t *catalog, const view_item_t *item)
@@ -179,46 +179,46 @@
     return departure != NULL && departure->gone;
 }
 
-/* Forgets the unusable entries that are not in the view any more. */
+/* Drops unusable revisions that are no longer in the view. */
 static void
-keep_unusable(catalog_t *catalog, const view_t *view)
+prune_unusable(catalog_t *catalog, const view_t *view)
 {
     if (catalog->unusable_count == 0)
         return;
-    size_t kept = 0;
+    size_t count = 0;
     for (size_t i = 0; i < view->count; i++) {
         if (is_unusable(catalog, view->items[i].revision))
-            kept++;
+            count++;
     }
-    uint64_t *revisions = xcalloc(kept + 1, sizeof(*revisions));
-    kept = 0;
+    uint64_t *revisions = xcalloc(count + 1, sizeof(*revisions));
+    count = 0;
     for (size_t i = 0; i < view->count; i++) {
         if (is_unusable(catalog, view->items[i].revision))
-            revisions[kept++] = view->items[i].revision;
+            revisions[count++] = view->items[i].revision;
     }
-    qsort(revisions, kept, sizeof(*revisions), by_revision);
+    qsort(revisions, count, sizeof(*revisions), by_revision);
     free(catalog->unusable);
     catalog->unusable = revisions;
-    catalog->unusable_count = kept;
+    catalog->unusable_count = count;
 }
 
-/* Walks the view and the backends side by side, both sorted by id: schedules the removal of
- * backends that are gone, and fills `changed` with the indexes in the view of entries that are new
- * or changed; returns their number. */
+/* Merges the view with the list of backends, both sorted by id. Schedules the removal of missing
+ * backends and fills `changed` with the indexes of new or changed entries in the view; returns
+ * their number. */
 static size_t
-compare_backends(change_t *change, const view_t *view, size_t *changed)
+diff_backends(change_t *change, const view_t *view, size_t *changed)
 {
     const catalog_t *catalog = change->catalog;
     const backends_t *backends = &catalog->backends;
     size_t count = 0;
-    size_t at = 0;
+    size_t pos = 0;
     for (size_t i = 0; i < view->count; i++) {
         const view_item_t *item = &view->items[i];
         const str_t id = str_from(item->name);
-        while (at < backends->count && str_order(name_str(&backends->items[at]->info.id), id) < 0)
-            schedule_removal(change, backends->items[at++]);
-        const bool known = at < backends->count && name_eq(&backends->items[at]->info.id, id);
-        backend_t *backend = known ? backends->items[at++] : NULL;
+        while (pos < backends->count && str_order(name_str(&backends->items[pos]->info.id), id) < 0)
+            schedule_removal(change, backends->items[pos++]);
+        const bool known = pos < backends->count && name_eq(&backends->items[pos]->info.id, id);
+        backend_t *backend = known ? backends->items[pos++] : NULL;
         if (is_unusable(catalog, item->revision))
             continue;
         if (is_gone(catalog, item)) {
@@ -230,8 +230,8 @@
             changed[count++] = i;
         }
     }
-    while (at < backends->count)
-        schedule_removal(change, backends->items[at++]);
+    while (pos < backends->count)
+        schedule_removal(change, backends->items[pos++]);
     return count;
 }
 
@@ -241,19 +241,19 @@
     change_t change = {
         .catalog = catalog,
         .now_ms = loop_now(catalog->loop),
-        .at = view->at,
+        .list_revision = view->at,
         .removal = {.store = store, .listed = view->count, .known = catalog->backends.count},
     };
-    catalog->fresh.count = 0;
-    keep_unusable(catalog, view);
+    catalog->new_departures.count = 0;
+    prune_unusable(catalog, view);
     size_t *changed = xcalloc(view->count + 1, sizeof(*changed));
-    const size_t count = compare_backends(&change, view, changed);
+    const size_t count = diff_backends(&change, view, changed);
     for (size_t i = 0; i < count; i++)
         apply_entry(&change, &view->items[changed[i]]);
     free(changed);
     backends_remove_due(&catalog->backends, change.now_ms);
     catalog->backends_known = true;
-    catalog_log_unsaid("list of backends", change.lines);
+    catalog_log_suppressed("list of backends", change.lines);
 }
 
 /* ---- departures ---- */
@@ -271,7 +271,7 @@
         schedule_removal(change, backend);
     } else if (!backend->info.leaving) {
         backend->info.leaving = true;
-        log_entry(change, &backend->info, departure->revision, false);
+        log_backend(change, &backend->info, departure->revision, false);
     }
 }
 
@@ -288,5 +288,5 @@
     for (size_t i = 0; i < count; i++)
         apply_departure(&change, &items[i]);
     backends_remove_due(&catalog->backends, change.now_ms);
-    catalog_log_unsaid("departures", change.lines);
+    catalog_log_suppressed("departures", change.lines);
 }
--- a/gateway/state/object_rates.c
+++ b/gateway/state/object_rates.c
@@ -2,9 +2,9 @@
 
 #include "gateway/state/object_rates.h"
 
-/* Time constant of the decay, in seconds. Chosen, not measured. */
+/* Time constant of the decay, in seconds. */
 #define DECAY_S 5.0
-/* Counts below this say nothing of the rate. Chosen: chance makes 8 of 3 once in 80 times. */
+/* Counts below this are too small to estimate a rate from. */
 #define COUNT_MIN 8.0F
 #define MS_PER_S 1000.0
 
@@ -24,10 +24,10 @@
 double
 object_rates_per_s(const object_rates_t *rates, uint64_t object)
 {
-    float least = rates->counts[0][column_of(object, 0)];
+    float min = rates->counts[0][column_of(object, 0)];
     for (unsigned row = 1; row < OBJECT_RATES_ROWS; row++)
-        least = fminf(least, rates->counts[row][column_of(object, row)]);
-    return least >= COUNT_MIN ? least / DECAY_S : 0;
+        min = fminf(min, rates->counts[row][column_of(object, row)]);
+    return min >= COUNT_MIN ? min / DECAY_S : 0;
 }
 
 void
--- a/gateway/state/suspect.h
+++ b/gateway/state/suspect.h
@@ -28,7 +28,8 @@
 } fingerprint_t;
 
 typedef struct {
-    uint64_t life;    /* identifies the process of the backend server, from backend_life_key() */
+    uint64_t
+        life; /* identifies the process of the backend server, from backend_incarnation_key() */
     uint64_t version; /* software version; 0 if unknown, which matches any */
     uint64_t member;  /* in a family: fingerprint of the request involved; else 0 */
     uint64_t at_ms;   /* loop time */
--- a/test/gateway/test_platform.c
+++ b/test/gateway/test_platform.c
@@ -95,11 +95,11 @@
 }
 END_TEST
 
-static backend_said_t
+static backend_statement_t
 parse_notice(int status, const char *name, const char *value, const char *repeated_value)
 {
     wire_head_t head = {.status = status};
-    backend_said_t notice;
+    backend_statement_t notice;
     add_field(&head, name, value);
     if (repeated_value != NULL)
         add_field(&head, name, repeated_value);
@@ -110,24 +110,24 @@
 
 START_TEST(parses_backend_notices)
 {
-    backend_said_t notice = parse_notice(200, "Server-Limit", "1.25", NULL);
-    ck_assert(notice.names_limit && notice.limit_per_s == 1.25 && !notice.leaves &&
-              !notice.asks_rest);
+    backend_statement_t notice = parse_notice(200, "Server-Limit", "1.25", NULL);
+    ck_assert(notice.has_limit && notice.limit_per_s == 1.25 && !notice.leaving &&
+              !notice.has_backoff);
     notice = parse_notice(200, "server-limit", " 0 ", NULL);
-    ck_assert(notice.names_limit && notice.limit_per_s == 0 && notice.unusable == 0);
+    ck_assert(notice.has_limit && notice.limit_per_s == 0 && notice.unusable == 0);
     notice = parse_notice(503, "Server-Leaving", "1", NULL);
-    ck_assert(notice.leaves && !notice.names_limit && !notice.asks_rest);
+    ck_assert(notice.leaving && !notice.has_limit && !notice.has_backoff);
     notice = parse_notice(503, "Retry-After", "0.5", NULL);
-    ck_assert(notice.asks_rest && notice.rest_ms == 500);
+    ck_assert(notice.has_backoff && notice.backoff_ms == 500);
     notice = parse_notice(429, "Retry-After", "3", NULL);
-    ck_assert(notice.asks_rest && notice.rest_ms == 3000);
+    ck_assert(notice.has_backoff && notice.backoff_ms == 3000);
     /* Retry-After counts only in a 503 or 429. */
     notice = parse_notice(200, "Retry-After", "3", NULL);
-    ck_assert(!notice.asks_rest && notice.unusable == 0);
+    ck_assert(!notice.has_backoff && notice.unusable == 0);
     notice = parse_notice(503, "Retry-After", "0", NULL);
-    ck_assert(!notice.asks_rest && notice.unusable == 0);
+    ck_assert(!notice.has_backoff && notice.unusable == 0);
     notice = parse_notice(200, "Server-Leaving", "0", NULL);
-    ck_assert(!notice.leaves && notice.unusable == 0);
+    ck_assert(!notice.leaving && notice.unusable == 0);
 }
 END_TEST
 
@@ -139,13 +139,13 @@
     static const char *const names[] = {"Server-Limit", "Server-Leaving", "Retry-After"};
     for (size_t k = 0; k < ALEN(names); k++) {
         for (size_t i = 0; i < ALEN(invalid); i++) {
-            const backend_said_t notice = parse_notice(503, names[k], invalid[i], NULL);
-            ck_assert_msg(!notice.names_limit && !notice.leaves && !notice.asks_rest &&
+            const backend_statement_t notice = parse_notice(503, names[k], invalid[i], NULL);
+            ck_assert_msg(!notice.has_limit && !notice.leaving && !notice.has_backoff &&
                               notice.unusable == 1,
                           "%s: %s", names[k], invalid[i]);
         }
-        const backend_said_t twice = parse_notice(503, names[k], "1", "1");
-        ck_assert(!twice.names_limit && !twice.leaves && !twice.asks_rest && twice.unusable == 1);
+        const backend_statement_t twice = parse_notice(503, names[k], "1", "1");
+        ck_assert(!twice.has_limit && !twice.leaving && !twice.has_backoff && twice.unusable == 1);
     }
 }
 END_TEST
@@ -201,7 +201,7 @@
     ck_assert_str_eq(config->version, "0000000c");
     const config_route_t *unsafe = config_route(config, STR("h.example"), STR("/p/x"));
     ck_assert(!unsafe->repeatable && unsafe->sticky && unsafe->regions.count == 1);
-    ck_assert_uint_eq(unsafe->aim_ms, 500);
+    ck_assert_uint_eq(unsafe->latency_objective_ms, 500);
     const config_route_t *large = config_route(config, STR("h.example"), STR("/d/"));
     ck_assert(large->repeatable && large->large && large->target_count == 2);
     ck_assert(large->targets[0].weight == 90);
@@ -293,8 +293,8 @@
         err_t err = {0};
         config_t *config = platform_decoder.config(str_from(text), &err);
         ck_assert_msg(config != NULL, "%s", err.detail);
-        ck_assert_uint_eq(config->routes_left_out, 1);
-        ck_assert_uint_eq(config->services_left_out, 1);
+        ck_assert_uint_eq(config->routes_skipped, 1);
+        ck_assert_uint_eq(config->services_skipped, 1);
         ck_assert_uint_eq(config_route(config, STR("h"), STR("/g/x"))->target_count, 1);
         ck_assert_ptr_null(config_route(config, STR("h"), STR("/b/x")));
         /* Requests of an invalid route must not match a route with a shorter prefix. */
@@ -333,7 +333,7 @@
     const config_route_t *route = config_route(config, STR("h"), STR("/"));
     ck_assert(!route->repeatable && !route->sticky);
     ck_assert_uint_eq(route->timeout_ms, 0);
-    ck_assert_uint_eq(route->aim_ms, 0);
+    ck_assert_uint_eq(route->latency_objective_ms, 0);
     ck_assert_uint_eq(route->max_attempts, 3);
     ck_assert_uint_eq(config->limits.max_head_bytes, 16384);
     config_unref(config);
