--- a/gateway/gateway_work.c
+++ b/gateway/gateway_work.c
@@ -35,7 +35,7 @@
         return;
     LOG_INFO("stopped: after_ms=%llu requests_left=%zu", (unsigned long long)age_ms,
              gateway->exchanges.active);
-    wire_listener_cut(callers);
+    wire_listener_abort_responses(callers);
     uv_stop(gateway->loop);
 }
 
@@ -59,7 +59,7 @@
     const backends_t *backends = &gateway->router.catalog.backends;
     for (size_t i = 0; i < backends->count; i++) {
         const backend_t *backend = backends->items[i];
-        wire_pool_sweep(backend->pool, backend_is_leaving(backend) ? 0 : BACKEND_IDLE_MS);
+        wire_pool_close_idle(backend->pool, backend_is_leaving(backend) ? 0 : BACKEND_IDLE_MS);
     }
     peer_hub_sweep_stalled(gateway->hub, PEER_STALLED_MS);
 }
--- a/gateway/path/attempt.c
+++ b/gateway/path/attempt.c
@@ -136,7 +136,7 @@
 
 /* The outcome of an attempt that broke. */
 static attempt_outcome_t
-judge_broken(attempt_t *attempt, backend_t *backend, const wire_end_t *end)
+judge_broken(attempt_t *attempt, backend_t *backend, const wire_call_result_t *end)
 {
     const uint64_t now = loop_now(attempt->loop);
     char caller[ADDR_TEXT_MAX];
@@ -154,7 +154,7 @@
 }
 
 static void
-on_end(void *ctx, const wire_end_t *end)
+on_end(void *ctx, const wire_call_result_t *end)
 {
     attempt_t *attempt = ctx;
     backend_t *backend = attempt->backend;
@@ -217,7 +217,7 @@
         .connect_timeout_ms = CONNECT_TIMEOUT_MS,
         .idle_max_ms = conf->repeatable ? IDLE_MAX_REPEATABLE_MS : IDLE_MAX_ONCE_MS,
         .head_method = attempt->req->head.method == HTTP_HEAD,
-        .looks_first = conf->again,
+        .probe_before_reuse = conf->again,
     };
     call.request = build_request(attempt, conf->left_ms, &call.request_len);
     attempt->call = wire_call_start(conf->backend->pool, &call, &cbs, attempt);
@@ -231,7 +231,7 @@
     const uint64_t elapsed_ms = loop_now(attempt->loop) - attempt->sent_ms;
     attempt->sent = wire_call_stage(attempt->call) != WIRE_UNSENT;
     if (attempt->slow_ms > 0 && elapsed_ms >= attempt->slow_ms)
-        wire_call_give_up(attempt->call);
+        wire_call_abort_on_timeout(attempt->call);
     else
         wire_call_cancel(attempt->call);
     attempt->call = NULL;
--- a/gateway/path/end_check.c
+++ b/gateway/path/end_check.c
@@ -8,7 +8,7 @@
 #include "base/loop_time.h"
 #include "base/xmalloc.h"
 #include "wire/client.h"
-#include "wire/reach.h"
+#include "wire/tcp_probe.h"
 
 enum {
     /* A process that ends closes its sockets one after the other, within milliseconds as a rule:
@@ -35,34 +35,34 @@
                 1);
 }
 
-static void on_outcome(void *ctx, reach_t outcome);
+static void on_outcome(void *ctx, tcp_probe_result_t outcome);
 
 static void
 look(check_t *check, uint64_t delay_ms)
 {
-    wire_reach(check->loop, wire_pool_addr(check->backend->pool), delay_ms, TIMEOUT_MS, on_outcome,
-               check);
+    wire_tcp_probe(check->loop, wire_pool_addr(check->backend->pool), delay_ms, TIMEOUT_MS,
+                   on_outcome, check);
 }
 
 static void
-on_outcome(void *ctx, reach_t outcome)
+on_outcome(void *ctx, tcp_probe_result_t outcome)
 {
     check_t *check = ctx;
     backend_t *backend = check->backend;
     const uint64_t life = backend_life_key(backend);
-    if (outcome == REACH_CONNECTED && !check->again) {
+    if (outcome == TCP_PROBE_CONNECTED && !check->again) {
         check->again = true;
         look(check, AGAIN_MS);
         return;
     }
     backend->end_check = false;
-    if (outcome == REACH_REFUSED) {
+    if (outcome == TCP_PROBE_REFUSED) {
         const size_t requests = suspects_confirm(check->suspects, life, loop_now(check->loop));
         count("outcome=\"ended\"");
         LOG_INFO("backend ended: id=%s requests=%zu", backend->info.id.ptr, requests);
     } else {
         suspects_take_back(check->suspects, life);
-        count(outcome == REACH_CONNECTED ? "outcome=\"lives\"" : "outcome=\"unknown\"");
+        count(outcome == TCP_PROBE_CONNECTED ? "outcome=\"lives\"" : "outcome=\"unknown\"");
     }
     backend_unref(backend);
     free(check);
--- a/gateway/path/end_check.h
+++ b/gateway/path/end_check.h
@@ -6,7 +6,7 @@
  * refused, the process has gone. One that is not answered tells nothing: a link may be cut.
  * One check a backend server at a time, for all requests that broke there.
  *
- * Keeps a reference to the backend meanwhile. Relies on wire/reach.h for the connection; the
+ * Keeps a reference to the backend meanwhile. Relies on wire/tcp_probe.h for the connection; the
  * outcome goes to state/suspects.h.
  */
 #pragma once
--- a/gateway/path/exchange.c
+++ b/gateway/path/exchange.c
@@ -154,7 +154,7 @@
     ex->end_ms = deadline_of(ex);
     if (ex->terms.has_deadline)
         ex->lost_ms = router_count_caller(router, ex->route, ex->terms.deadline_ms);
-    req->on_gone = on_caller_gone;
+    req->on_disconnect = on_caller_gone;
     req->on_drain = on_caller_drained;
     req->ctx = ex;
     dispatch_next(ex);
--- a/gateway/resume.c
+++ b/gateway/resume.c
@@ -38,7 +38,7 @@
     while (resume->waiting != NULL) {
         wire_request_t *req = resume->waiting->req;
         forget(resume->waiting);
-        req->on_gone = NULL;
+        req->on_disconnect = NULL;
         req->ctx = NULL;
         resume->conf.serve(resume->conf.ctx, req);
     }
@@ -86,7 +86,7 @@
     resume_waiting_t *waiting = xcalloc(1, sizeof(*waiting));
     waiting->resume = resume;
     waiting->req = req;
-    req->on_gone = on_caller_gone;
+    req->on_disconnect = on_caller_gone;
     req->ctx = waiting;
     resume_waiting_t **slot = &resume->waiting;
     while (*slot != NULL)
--- a/standin/fake_site.c
+++ b/standin/fake_site.c
@@ -236,7 +236,7 @@
 }
 
 static void
-on_end(void *ctx, const wire_end_t *end)
+on_end(void *ctx, const wire_call_result_t *end)
 {
     request_t *request = ctx;
     tally_t *tally = &request->fake->tally;
--- a/standin/soak/server_work.c
+++ b/standin/soak/server_work.c
@@ -161,7 +161,7 @@
     if (ends_server(server, request))
         return;
     drop_work(work);
-    req->on_gone = NULL;
+    req->on_disconnect = NULL;
     req->ctx = NULL;
     if (request != NULL)
         answer(server, req, request);
@@ -287,7 +287,7 @@
     uv_timer_init(server->servers->conf.loop, &work->timer);
     work->timer.data = work;
     req->ctx = work;
-    req->on_gone = on_work_gone;
+    req->on_disconnect = on_work_gone;
     work_t **slot = &server->works;
     while (*slot != NULL)
         slot = &(*slot)->next;
@@ -307,7 +307,7 @@
         if (request != NULL)
             request->server_left = true;
         drop_work(work);
-        req->on_gone = NULL;
+        req->on_disconnect = NULL;
         wire_respond_abort(req);
     }
 }
--- a/standin/store.c
+++ b/standin/store.c
@@ -123,7 +123,7 @@
     paced->text = text;
     paced->len = strlen(text);
     req->ctx = paced;
-    req->on_gone = drop_paced;
+    req->on_disconnect = drop_paced;
     wire_respond_head(req, HTTP_STATUS_OK, fields, (int64_t)paced->len);
     uv_timer_init(store->loop, &paced->timer);
     paced->timer.data = paced;
@@ -292,7 +292,7 @@
     uv_timer_init(store->loop, &watch->timer);
     watch->timer.data = watch;
     req->ctx = watch;
-    req->on_gone = on_watcher_gone;
+    req->on_disconnect = on_watcher_gone;
     json_t *events = events_after(store, kind, from);
     if (events != NULL)
         answer_watch(watch, events);
@@ -394,7 +394,7 @@
 on_delay(uv_timer_t *timer)
 {
     delayed_t *delayed = timer->data;
-    delayed->req->on_gone = NULL;
+    delayed->req->on_disconnect = NULL;
     delayed->req->ctx = NULL;
     look_at(delayed->store, delayed->req);
     uv_close((uv_handle_t *)timer, on_delayed_closed);
@@ -415,7 +415,7 @@
     uv_timer_init(store->loop, &delayed->timer);
     delayed->timer.data = delayed;
     req->ctx = delayed;
-    req->on_gone = on_delayed_gone;
+    req->on_disconnect = on_delayed_gone;
     uv_timer_start(&delayed->timer, on_delay, store->delay_ms, 0);
 }
 
--- a/test/gateway/site.c
+++ b/test/gateway/site.c
@@ -258,7 +258,7 @@
 }
 
 static void
-on_reply_end(void *ctx, const wire_end_t *end)
+on_reply_end(void *ctx, const wire_call_result_t *end)
 {
     reply_t *reply = ctx;
     reply->whole = end->err.code == ERR_NONE;
--- a/test/gateway/test_quarantine.c
+++ b/test/gateway/test_quarantine.c
@@ -281,7 +281,7 @@
 } page_t;
 
 static void
-on_page(void *ctx, const wire_answer_t *answer)
+on_page(void *ctx, const wire_response_t *answer)
 {
     page_t *page = ctx;
     snprintf(page->text, sizeof(page->text), "%.*s", STR_ARG(answer->body));
--- a/test/gateway/test_silent.c
+++ b/test/gateway/test_silent.c
@@ -114,7 +114,7 @@
 } reply_t;
 
 static void
-on_end(void *ctx, const wire_end_t *end)
+on_end(void *ctx, const wire_call_result_t *end)
 {
     *(reply_t *)ctx = (reply_t){.done = true, .err = end->err.code};
 }
@@ -190,7 +190,7 @@
     reply_t reply;
     wire_call_t *call = start_call(pool, &reply, 0);
     RUN_UNTIL(server, server->bytes[0] + server->bytes[1] + server->bytes[2] > 3 * 27);
-    wire_call_give_up(call);
+    wire_call_abort_on_timeout(call);
     start_call(pool, &reply, TIMEOUT_MS);
     RUN_UNTIL(server, reply.done);
     ck_assert_int_eq(reply.err, ERR_NONE);
--- a/wire/client.c
+++ b/wire/client.c
@@ -12,12 +12,12 @@
     call->cbs = *cbs;
     call->ctx = ctx;
     call->conf = *conf;
-    client_conn_t *conn = client_conn_take(pool, conf->idle_max_ms, conf->looks_first);
+    client_conn_t *conn = client_conn_acquire(pool, conf->idle_max_ms, conf->probe_before_reuse);
     const bool kept = conn != NULL;
     if (!kept)
         conn = client_conn_open(pool);
     pool->busy_count++;
-    conn->kept = kept;
+    conn->reused = kept;
     conn->call = call;
     call->conn = conn;
     if (kept)
@@ -37,9 +37,9 @@
 }
 
 void
-wire_call_give_up(wire_call_t *call)
+wire_call_abort_on_timeout(wire_call_t *call)
 {
-    client_call_suspect_silence(call->conn);
+    client_call_close_idle_after_silence(call->conn);
     wire_call_cancel(call);
 }
 
@@ -52,12 +52,12 @@
 void
 wire_call_resume(wire_call_t *call)
 {
-    if (!call->conn->dead)
-        client_call_read(call->conn);
+    if (!call->conn->closed)
+        client_call_start_reading(call->conn);
 }
 
 wire_stage_t
 wire_call_stage(const wire_call_t *call)
 {
-    return call->end.stage;
+    return call->result.stage;
 }
--- a/wire/client_call.c
+++ b/wire/client_call.c
@@ -1,12 +1,12 @@
 #include <stdlib.h>
 
-#include "wire/client_answer.h"
+#include "wire/client_response.h"
 #include "wire/client_call.h"
 #include "base/loop_time.h"
 
 enum {
     READ_SIZE = 65536,
-    READ_FIRST_MS = 20, /* for what waits in the socket: a few rounds of the loop. Chosen */
+    TIMEOUT_READ_GRACE_MS = 20, /* for what waits in the socket: a few rounds of the loop. Chosen */
 };
 
 static char read_buffer[READ_SIZE];
@@ -20,9 +20,9 @@
 }
 
 void
-client_call_suspect_silence(client_conn_t *conn)
+client_call_close_idle_after_silence(client_conn_t *conn)
 {
-    if (!conn->kept || conn->call->end.stage != WIRE_SENT)
+    if (!conn->reused || conn->call->result.stage != WIRE_SENT)
         return;
     while (conn->pool->idle != NULL)
         client_conn_close_idle(conn->pool->idle);
@@ -35,17 +35,17 @@
     wire_pool_t *pool = conn->pool;
     conn->call = NULL;
     pool->busy_count--;
-    if (reuse && !pool->freed && !conn->dead) {
+    if (reuse && !pool->freed && !conn->closed) {
         uv_timer_stop(&conn->timer);
         /* The call may have paused reading with the answer's last bytes already here. */
-        client_call_read(conn);
-        client_conn_keep(conn);
+        client_call_start_reading(conn);
+        client_conn_release(conn);
     } else {
         client_conn_close(conn);
     }
     if (!call->done) {
         call->done = true;
-        call->cbs.on_end(call->ctx, &call->end);
+        call->cbs.on_end(call->ctx, &call->result);
     }
     free(call);
     wire_pool_release(pool);
@@ -56,10 +56,10 @@
 {
     char text[ADDR_TEXT_MAX];
     wire_call_t *call = conn->call;
-    const bool sent = call->end.stage >= WIRE_SENT;
+    const bool sent = call->result.stage >= WIRE_SENT;
     if (code == ERR_UNAVAILABLE && sent)
         code = ERR_ANSWER_LOST;
-    err_set(&call->end.err, code, "%s: %s", addr_format(&conn->pool->addr, text), what);
+    err_set(&call->result.err, code, "%s: %s", addr_format(&conn->pool->addr, text), what);
     client_call_end(conn, false);
 }
 
@@ -82,12 +82,12 @@
 {
     client_conn_t *conn = timer->data;
     wire_call_t *call = conn->call;
-    if (!call->overdue && has_input(conn)) {
-        call->overdue = true;
-        uv_timer_start(&conn->timer, on_call_timeout, READ_FIRST_MS, 0);
+    if (!call->timeout_deferred && has_input(conn)) {
+        call->timeout_deferred = true;
+        uv_timer_start(&conn->timer, on_call_timeout, TIMEOUT_READ_GRACE_MS, 0);
         return;
     }
-    client_call_suspect_silence(conn);
+    client_call_close_idle_after_silence(conn);
     client_call_fail(conn, ERR_TIMEOUT, "no whole answer in time");
 }
 
@@ -95,7 +95,7 @@
 start_timer(client_conn_t *conn)
 {
     wire_call_t *call = conn->call;
-    call->end_by_ms = loop_now(conn->pool->loop) + call->conf.whole_ms;
+    call->deadline_ms = loop_now(conn->pool->loop) + call->conf.total_timeout_ms;
     if (call->conf.timeout_ms > 0)
         uv_timer_start(&conn->timer, on_call_timeout, call->conf.timeout_ms, 0);
 }
@@ -106,29 +106,30 @@
 {
     const wire_call_t *call = conn->call;
     const uint64_t now_ms = loop_now(conn->pool->loop);
-    if (call->conf.stall_ms == 0)
+    if (call->conf.read_timeout_ms == 0)
         return;
-    const uint64_t left_ms = call->end_by_ms > now_ms ? call->end_by_ms - now_ms : 0;
-    const uint64_t wait_ms = left_ms < call->conf.stall_ms ? left_ms : call->conf.stall_ms;
+    const uint64_t left_ms = call->deadline_ms > now_ms ? call->deadline_ms - now_ms : 0;
+    const uint64_t wait_ms =
+        left_ms < call->conf.read_timeout_ms ? left_ms : call->conf.read_timeout_ms;
     uv_timer_start(&conn->timer, on_call_timeout, wait_ms, 0);
 }
 
 /* ---- reading ---- */
 
 static void
-on_answer_bytes(client_conn_t *conn, const char *ptr, size_t len)
+on_response_data(client_conn_t *conn, const char *ptr, size_t len)
 {
     restart_timer(conn);
-    switch (client_answer_read(conn, ptr, len)) {
-    case ANSWER_WHOLE:
+    switch (client_response_parse(conn, ptr, len)) {
+    case RESPONSE_COMPLETE:
         /* An answer before the request was written spoils the connection. */
         client_call_end(conn, conn->reusable && !conn->writing);
         return;
-    case ANSWER_INVALID:
-        client_call_fail(conn, ERR_PROTOCOL, client_answer_fault(conn));
+    case RESPONSE_INVALID:
+        client_call_fail(conn, ERR_PROTOCOL, client_response_error(conn));
         return;
-    case ANSWER_UNFINISHED:
-    case ANSWER_CANCELLED:
+    case RESPONSE_INCOMPLETE:
+    case RESPONSE_CANCELLED:
         return;
     }
 }
@@ -147,23 +148,23 @@
 static void
 on_eof(client_conn_t *conn)
 {
-    conn->call->end.closed = true;
+    conn->call->result.closed = true;
     if (was_reset(conn)) {
         client_call_fail(conn, ERR_UNAVAILABLE, "reset before the answer was whole");
         return;
     }
     /* An answer without a length ends with its connection. */
-    switch (client_answer_read(conn, NULL, 0)) {
-    case ANSWER_WHOLE:
-        conn->call->end.unframed = true;
-        conn->call->end.closed = false;
+    switch (client_response_parse(conn, NULL, 0)) {
+    case RESPONSE_COMPLETE:
+        conn->call->result.close_delimited = true;
+        conn->call->result.closed = false;
         client_call_end(conn, false);
         return;
-    case ANSWER_UNFINISHED:
-    case ANSWER_INVALID:
+    case RESPONSE_INCOMPLETE:
+    case RESPONSE_INVALID:
         client_call_fail(conn, ERR_UNAVAILABLE, "closed before the answer was whole");
         return;
-    case ANSWER_CANCELLED:
+    case RESPONSE_CANCELLED:
         return;
     }
 }
@@ -172,25 +173,25 @@
 on_read(uv_stream_t *stream, ssize_t n, const uv_buf_t *buf)
 {
     client_conn_t *conn = stream->data;
-    if (conn->dead || n == 0)
+    if (conn->closed || n == 0)
         return;
     if (conn->call == NULL) {
         client_conn_close_idle(conn);
         return;
     }
     if (n == UV_ETIMEDOUT)
-        client_call_suspect_silence(conn);
-    conn->call->end.closed = n == UV_ECONNRESET;
+        client_call_close_idle_after_silence(conn);
+    conn->call->result.closed = n == UV_ECONNRESET;
     if (n == UV_EOF)
         on_eof(conn);
     else if (n < 0)
         client_call_fail(conn, ERR_UNAVAILABLE, uv_strerror((int)n));
     else
-        on_answer_bytes(conn, buf->base, (size_t)n);
+        on_response_data(conn, buf->base, (size_t)n);
 }
 
 void
-client_call_read(client_conn_t *conn)
+client_call_start_reading(client_conn_t *conn)
 {
     uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read);
 }
@@ -204,9 +205,9 @@
     conn->writing = false;
     free(conn->request);
     conn->request = NULL;
-    if (status == 0 || conn->dead || conn->call == NULL)
+    if (status == 0 || conn->closed || conn->call == NULL)
         return;
-    conn->call->end.closed = status == UV_ECONNRESET || status == UV_EPIPE;
+    conn->call->result.closed = status == UV_ECONNRESET || status == UV_EPIPE;
     client_call_fail(conn, ERR_UNAVAILABLE, uv_strerror(status));
 }
 
@@ -214,8 +215,8 @@
 client_call_send(client_conn_t *conn)
 {
     wire_call_t *call = conn->call;
-    client_answer_begin(conn);
-    call->end.stage = WIRE_SENT;
+    client_response_begin(conn);
+    call->result.stage = WIRE_SENT;
     start_timer(conn);
     conn->request = call->conf.request;
     call->conf.request = NULL;
--- a/wire/client_connect.c
+++ b/wire/client_connect.c
@@ -4,7 +4,7 @@
 
 /* Unacknowledged bytes break the connection after this time, so that a backend without power is
  * noticed. Chosen, not measured. */
-enum { USER_TIMEOUT_MS = 1200 };
+enum { TCP_USER_TIMEOUT_MS = 1200 };
 
 static void
 on_connect_timeout(uv_timer_t *timer)
@@ -17,7 +17,7 @@
 on_connected(uv_connect_t *req, int status)
 {
     client_conn_t *conn = req->data;
-    if (conn->dead || conn->call == NULL)
+    if (conn->closed || conn->call == NULL)
         return;
     if (status != 0) {
         client_call_fail(conn, ERR_UNAVAILABLE, uv_strerror(status));
@@ -25,8 +25,8 @@
     }
     uv_timer_stop(&conn->timer);
     uv_tcp_nodelay(&conn->tcp, 1);
-    tcp_set_user_timeout(&conn->tcp, USER_TIMEOUT_MS);
-    client_call_read(conn);
+    tcp_set_user_timeout(&conn->tcp, TCP_USER_TIMEOUT_MS);
+    client_call_start_reading(conn);
     client_call_send(conn);
 }
 
--- a/wire/client_answer.c
+++ b/wire/client_response.c
@@ -1,6 +1,6 @@
 #include <strings.h>
 
-#include "wire/client_answer.h"
+#include "wire/client_response.h"
 
 enum { MS_PER_S = 1000 };
 
@@ -22,7 +22,7 @@
 
 /* "timeout=N" of a Keep-Alive field in milliseconds, 0 if absent. */
 static uint64_t
-keep_alive_ms(const wire_head_t *head)
+parse_keep_alive_ms(const wire_head_t *head)
 {
     const str_t value = wire_head_find(head, STR("keep-alive"));
     static const str_t key = {"timeout=", 8};
@@ -53,20 +53,20 @@
 }
 
 static int
-on_head_done(http_parser *parser)
+on_headers_complete(http_parser *parser)
 {
     client_conn_t *conn = parser->data;
     wire_call_t *call = conn->call;
     conn->head.status = parser->status_code;
-    conn->skip = parser->status_code < 200 ||
-                 (call->cbs.matches != NULL && !call->cbs.matches(call->ctx, &conn->head));
-    if (conn->skip) {
+    conn->skip_response = parser->status_code < 200 ||
+                          (call->cbs.matches != NULL && !call->cbs.matches(call->ctx, &conn->head));
+    if (conn->skip_response) {
         if (parser->status_code >= 200)
             conn->reusable = false;
         return 0;
     }
-    conn->keep_ms = keep_alive_ms(&conn->head);
-    call->end.stage = WIRE_HEAD;
+    conn->keep_alive_ms = parse_keep_alive_ms(&conn->head);
+    call->result.stage = WIRE_HEAD;
     const int64_t length = body_length(parser, call->conf.head_method);
     call->cbs.on_head(call->ctx, &conn->head, length);
     if (conn->call == NULL)
@@ -78,7 +78,7 @@
 on_body(http_parser *parser, const char *ptr, size_t len)
 {
     client_conn_t *conn = parser->data;
-    if (conn->skip)
+    if (conn->skip_response)
         return 0;
     conn->call->cbs.on_data(conn->call->ctx, ptr, len);
     return conn->call == NULL ? -1 : 0;
@@ -88,11 +88,11 @@
 on_complete(http_parser *parser)
 {
     client_conn_t *conn = parser->data;
-    if (conn->skip) {
+    if (conn->skip_response) {
         wire_head_reset(&conn->head);
         return 0;
     }
-    conn->call->end.stage = WIRE_COMPLETE;
+    conn->call->result.stage = WIRE_COMPLETE;
     if (!http_should_keep_alive(parser))
         conn->reusable = false;
     http_parser_pause(parser, 1);
@@ -102,36 +102,36 @@
 static const http_parser_settings parser_settings = {
     .on_header_field = on_field,
     .on_header_value = on_value,
-    .on_headers_complete = on_head_done,
+    .on_headers_complete = on_headers_complete,
     .on_body = on_body,
     .on_message_complete = on_complete,
 };
 
 void
-client_answer_begin(client_conn_t *conn)
+client_response_begin(client_conn_t *conn)
 {
     http_parser_init(&conn->parser, HTTP_RESPONSE);
     conn->parser.data = conn;
     wire_head_reset(&conn->head);
     conn->reusable = true;
-    conn->skip = false;
+    conn->skip_response = false;
 }
 
-client_answer_t
-client_answer_read(client_conn_t *conn, const char *ptr, size_t len)
+client_response_state_t
+client_response_parse(client_conn_t *conn, const char *ptr, size_t len)
 {
     const size_t used = http_parser_execute(&conn->parser, &parser_settings, ptr, len);
     if (conn->call == NULL)
-        return ANSWER_CANCELLED;
-    if (conn->call->end.stage == WIRE_COMPLETE) {
+        return RESPONSE_CANCELLED;
+    if (conn->call->result.stage == WIRE_COMPLETE) {
         conn->reusable = conn->reusable && used == len;
-        return ANSWER_WHOLE;
+        return RESPONSE_COMPLETE;
     }
-    return HTTP_PARSER_ERRNO(&conn->parser) == HPE_OK ? ANSWER_UNFINISHED : ANSWER_INVALID;
+    return HTTP_PARSER_ERRNO(&conn->parser) == HPE_OK ? RESPONSE_INCOMPLETE : RESPONSE_INVALID;
 }
 
 const char *
-client_answer_fault(const client_conn_t *conn)
+client_response_error(const client_conn_t *conn)
 {
     return http_errno_description(HTTP_PARSER_ERRNO(&conn->parser));
 }
--- a/wire/fetch.c
+++ b/wire/fetch.c
@@ -19,19 +19,19 @@
 static void
 finish(fetch_t *fetch, const err_t *err)
 {
-    const wire_answer_t answer = {
+    const wire_response_t response = {
         .err = *err,
         .status = fetch->status,
         .body = {fetch->body.ptr != NULL ? fetch->body.ptr : "", fetch->body.len},
     };
-    fetch->cb(fetch->ctx, &answer);
+    fetch->cb(fetch->ctx, &response);
     free(fetch->body.ptr);
     free(fetch);
 }
 
 /* The rest of the answer is not waited for: it would fill a small link. */
 static void
-refuse_answer(fetch_t *fetch)
+reject_response(fetch_t *fetch)
 {
     err_t err = {0};
     err_set(&err, ERR_TOO_LARGE, "answer above %zu bytes", fetch->max_body);
@@ -45,7 +45,7 @@
     fetch_t *fetch = ctx;
     fetch->status = head->status;
     if (content_length > 0 && (uint64_t)content_length > fetch->max_body)
-        refuse_answer(fetch);
+        reject_response(fetch);
 }
 
 static void
@@ -53,15 +53,15 @@
 {
     fetch_t *fetch = ctx;
     if (fetch->body.len + len > fetch->max_body)
-        refuse_answer(fetch);
+        reject_response(fetch);
     else
         wire_text_add(&fetch->body, ptr, len);
 }
 
 static void
-on_end(void *ctx, const wire_end_t *end)
+on_end(void *ctx, const wire_call_result_t *result)
 {
-    finish(ctx, &end->err);
+    finish(ctx, &result->err);
 }
 
 void
@@ -89,8 +89,8 @@
         .request_len = text.len,
         .connect_timeout_ms = CONNECT_TIMEOUT_MS,
         .timeout_ms = conf->timeout_ms,
-        .stall_ms = conf->stall_ms,
-        .whole_ms = conf->whole_ms,
+        .read_timeout_ms = conf->read_timeout_ms,
+        .total_timeout_ms = conf->total_timeout_ms,
         .idle_max_ms = IDLE_MAX_MS,
     };
     fetch->call = wire_call_start(pool, &call, &cbs, fetch);
--- a/wire/fetch.h
+++ b/wire/fetch.h
@@ -12,18 +12,18 @@
     err_t err;  /* ERR_NONE when the answer is whole */
     int status; /* 0 if no head came */
     str_t body; /* valid during the callback */
-} wire_answer_t;
+} wire_response_t;
 
-typedef void (*wire_fetch_cb_t)(void *ctx, const wire_answer_t *answer);
+typedef void (*wire_fetch_cb_t)(void *ctx, const wire_response_t *response);
 
 typedef struct {
     const char *method;
     const char *target;
     str_t body;
-    uint64_t timeout_ms; /* until the answer's first byte */
-    uint64_t stall_ms;   /* between two reads of it */
-    uint64_t whole_ms;   /* for the whole call */
-    size_t max_body;     /* an answer that announces or brings more is given up: ERR_TOO_LARGE */
+    uint64_t timeout_ms;       /* until the answer's first byte */
+    uint64_t read_timeout_ms;  /* between two reads of it */
+    uint64_t total_timeout_ms; /* for the whole call */
+    size_t max_body; /* an answer that announces or brings more is given up: ERR_TOO_LARGE */
 } wire_fetch_conf_t;
 
 /* The callback is never called before wire_fetch() has returned. */
--- a/wire/head.c
+++ b/wire/head.c
@@ -58,7 +58,7 @@
         head->fields = xrealloc(head->fields, head->field_size * sizeof(*head->fields));
     }
     head->fields[head->field_count++] =
-        (wire_field_t){.name_at = (uint32_t)head->len, .value_at = (uint32_t)head->len};
+        (wire_field_t){.name_offset = (uint32_t)head->len, .value_offset = (uint32_t)head->len};
 }
 
 void
@@ -70,7 +70,7 @@
     append(head, ptr, len);
     wire_field_t *field = &head->fields[head->field_count - 1];
     field->name_len += (uint32_t)len;
-    field->value_at = (uint32_t)head->len;
+    field->value_offset = (uint32_t)head->len;
 }
 
 void
@@ -119,14 +119,14 @@
 wire_head_name(const wire_head_t *head, size_t index)
 {
     const wire_field_t *field = &head->fields[index];
-    return (str_t){head->text + field->name_at, field->name_len};
+    return (str_t){head->text + field->name_offset, field->name_len};
 }
 
 str_t
 wire_head_value(const wire_head_t *head, size_t index)
 {
     const wire_field_t *field = &head->fields[index];
-    return (str_t){head->text + field->value_at, field->value_len};
+    return (str_t){head->text + field->value_offset, field->value_len};
 }
 
 bool
@@ -146,7 +146,7 @@
 }
 
 bool
-wire_is_hop_field(str_t name)
+wire_is_hop_by_hop_field(str_t name)
 {
     static const str_t hop[] = {
         {"connection", 10}, {"keep-alive", 10}, {"proxy-connection", 16},
--- a/wire/head.h
+++ b/wire/head.h
@@ -4,7 +4,7 @@
  * Fields are not counted: the parser library ends a head of more than 80 kB, and a field has 4
  * bytes at least, so that the list of fields stays below 400 kB; a listener's limit is lower.
  *
- * Filled by the parser callbacks of request_reader.c and client_answer.c, which may deliver a
+ * Filled by the parser callbacks of request_reader.c and client_response.c, which may deliver a
  * field in pieces. Owns the bytes; a str_t returned from here lives as long as the head is not
  * reset.
  */
@@ -23,9 +23,9 @@
 };
 
 typedef struct {
-    uint32_t name_at;
+    uint32_t name_offset;
     uint32_t name_len;
-    uint32_t value_at;
+    uint32_t value_offset;
     uint32_t value_len;
 } wire_field_t;
 
@@ -60,7 +60,7 @@
 /* The value of the first field of that name in any case, empty if absent. */
 str_t wire_head_find(const wire_head_t *head, str_t name);
 /* True for fields that concern one connection only (connection, keep-alive, ...) or the framing. */
-bool wire_is_hop_field(str_t name);
+bool wire_is_hop_by_hop_field(str_t name);
 
 /* A growing text with a bound on nothing but memory; used to build heads. */
 typedef struct {
--- a/wire/listener.c
+++ b/wire/listener.c
@@ -14,16 +14,17 @@
 enum {
     LISTEN_BACKLOG = 512, /* chosen, not measured */
     READ_SIZE = 65536,
-    CHECK_EVERY_MS = 250,   /* granularity of the idle and head timeouts. Chosen */
-    CLOSE_LINGER_MS = 1000, /* from the last answer's last byte to our close. Chosen */
+    SWEEP_INTERVAL_MS = 250, /* granularity of the idle and head timeouts. Chosen */
+    CLOSE_LINGER_MS = 1000,  /* from the last answer's last byte to our close. Chosen */
     /* Output that has not moved for this time is given up. Chosen: well above the 1.5 s that bytes
      * lay on full links (docs/incidents/2026-12-02-config-storm.md). The other times of a
-     * connection's end are CROSSING_MS of respond.c and REST_MAX_MS of gateway/policy/shutdown.c.
+     * connection's end are CLOSE_RACE_MARGIN_MS of respond.c and REST_MAX_MS of
+     * gateway/policy/shutdown.c.
      */
-    WRITE_STALLED_MS = 5000,
+    WRITE_STALL_TIMEOUT_MS = 5000,
     /* A sweep that comes this long after it was asked for is put off once: twice the time after
      * which the next timer ends a poll. */
-    SWEEP_LATE_MS = 2 * CHECK_EVERY_MS,
+    SWEEP_LATE_MS = 2 * SWEEP_INTERVAL_MS,
 };
 
 static char read_buffer[READ_SIZE]; /* one read at a time on the loop */
@@ -40,10 +41,10 @@
 on_read(uv_stream_t *stream, ssize_t n, const uv_buf_t *buf)
 {
     wire_conn_t *conn = stream->data;
-    if (conn->dead || n == 0)
+    if (conn->closed || n == 0)
         return;
     if (n < 0) {
-        wire_conn_lose(conn);
+        wire_conn_on_disconnect(conn);
         return;
     }
     request_reader_feed(conn, buf->base, (size_t)n);
@@ -75,7 +76,7 @@
     uv_tcp_nodelay(&conn->tcp, 1);
     int len = sizeof(conn->req.caller);
     uv_tcp_getpeername(&conn->tcp, &conn->req.caller.sa, &len);
-    conn->idle_ms = listener->limits.idle_timeout_ms;
+    conn->idle_limit_ms = listener->limits.idle_timeout_ms;
     wire_conn_set_state(conn, STATE_IDLE);
     uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read);
 }
@@ -83,29 +84,29 @@
 /* Neither the rest after an answer nor the wait for the caller's close begins before the answer is
  * written, which takes long on a narrow link. */
 static void
-note_output(wire_conn_t *conn)
+track_output_progress(wire_conn_t *conn)
 {
     const size_t left = uv_stream_get_write_queue_size((const uv_stream_t *)&conn->tcp);
-    const bool answered = conn->state == STATE_IDLE || conn->state == STATE_CLOSING;
-    if (answered && left != conn->unwritten)
-        conn->since_ms = loop_now(conn->listener->loop);
+    const bool response_ended = conn->state == STATE_IDLE || conn->state == STATE_CLOSING;
+    if (response_ended && left != conn->unwritten)
+        conn->last_progress_ms = loop_now(conn->listener->loop);
     conn->unwritten = left;
 }
 
 /* Callers rely on the limit that they knew at their last answer, and on a longer one at once. */
 static uint64_t
-allowed_rest_ms(const wire_conn_t *conn)
+effective_idle_limit_ms(const wire_conn_t *conn)
 {
     const wire_listener_t *listener = conn->listener;
     const uint64_t limit = listener->limits.idle_timeout_ms;
-    const uint64_t allowed = conn->idle_ms > limit ? conn->idle_ms : limit;
-    return allowed < listener->rest_max_ms ? allowed : listener->rest_max_ms;
+    const uint64_t allowed = conn->idle_limit_ms > limit ? conn->idle_limit_ms : limit;
+    return allowed < listener->max_idle_ms ? allowed : listener->max_idle_ms;
 }
 
 /* Closes with output that is not written: an answer that ends with its connection must not look
  * whole. */
 static void
-cut_conn(wire_conn_t *conn)
+abort_conn(wire_conn_t *conn)
 {
     if (conn->until_close)
         wire_conn_reset(conn);
@@ -119,12 +120,12 @@
 static void
 sweep_conn(wire_conn_t *conn)
 {
-    note_output(conn);
+    track_output_progress(conn);
     const uint64_t now = conn->listener->sweep_ms;
-    const uint64_t age = now > conn->since_ms ? now - conn->since_ms : 0;
+    const uint64_t age = now > conn->last_progress_ms ? now - conn->last_progress_ms : 0;
     switch (conn->state) {
     case STATE_IDLE:
-        if (age >= (conn->unwritten > 0 ? WRITE_STALLED_MS : allowed_rest_ms(conn)))
+        if (age >= (conn->unwritten > 0 ? WRITE_STALL_TIMEOUT_MS : effective_idle_limit_ms(conn)))
             wire_conn_close(conn);
         break;
     case STATE_READING:
@@ -134,8 +135,8 @@
     case STATE_ANSWERING:
         break;
     case STATE_CLOSING:
-        if (conn->unwritten > 0 && age > WRITE_STALLED_MS)
-            cut_conn(conn);
+        if (conn->unwritten > 0 && age > WRITE_STALL_TIMEOUT_MS)
+            abort_conn(conn);
         else if (conn->unwritten == 0 && age > CLOSE_LINGER_MS)
             wire_conn_close(conn);
         break;
@@ -156,12 +157,12 @@
 {
     wire_listener_t *listener = after_poll->data;
     const uint64_t now = loop_now(listener->loop);
-    if (now - listener->sweep_ms > SWEEP_LATE_MS && !listener->sweep_put_off) {
-        listener->sweep_put_off = true;
+    if (now - listener->sweep_ms > SWEEP_LATE_MS && !listener->sweep_deferred) {
+        listener->sweep_deferred = true;
         listener->sweep_ms = now;
         return; /* the check stays active: it runs again after the next poll */
     }
-    listener->sweep_put_off = false;
+    listener->sweep_deferred = false;
     uv_check_stop(after_poll);
     close_port(listener);
     wire_conn_t *next;
@@ -184,7 +185,7 @@
 }
 
 static void
-on_check(uv_timer_t *timer)
+on_sweep_timer(uv_timer_t *timer)
 {
     request_sweep(timer->data);
 }
@@ -198,8 +199,8 @@
     listener->limits = *limits;
     listener->handler = handler;
     listener->ctx = ctx;
-    listener->on_answered = request_reader_next;
-    listener->rest_max_ms = UINT64_MAX;
+    listener->on_response_end = request_reader_next;
+    listener->max_idle_ms = UINT64_MAX;
     uv_tcp_init(loop, &listener->tcp);
     listener->tcp.data = listener;
     if (!tcp_listen(&listener->tcp, addr, LISTEN_BACKLOG, on_accept, &listener->port, err))
@@ -208,7 +209,7 @@
     listener->after_poll.data = listener;
     uv_timer_init(loop, &listener->timer);
     listener->timer.data = listener;
-    uv_timer_start(&listener->timer, on_check, CHECK_EVERY_MS, CHECK_EVERY_MS);
+    uv_timer_start(&listener->timer, on_sweep_timer, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS);
     return listener;
 }
 
@@ -244,9 +245,9 @@
 }
 
 void
-wire_listener_close_idle(wire_listener_t *listener, uint64_t rest_ms)
+wire_listener_close_idle(wire_listener_t *listener, uint64_t idle_ms)
 {
-    listener->rest_max_ms = rest_ms;
+    listener->max_idle_ms = idle_ms;
     request_sweep(listener);
 }
 
@@ -257,12 +258,12 @@
 }
 
 void
-wire_listener_cut(wire_listener_t *listener)
+wire_listener_abort_responses(wire_listener_t *listener)
 {
     wire_conn_t *next;
     for (wire_conn_t *conn = listener->conns; conn != NULL; conn = next) {
         next = conn->next;
         if (conn->state == STATE_ANSWERING || conn->state == STATE_CLOSING)
-            cut_conn(conn);
+            abort_conn(conn);
     }
 }
--- a/wire/listener.h
+++ b/wire/listener.h
@@ -47,7 +47,7 @@
     addr_t caller;     /* where its connection comes from */
     /* Set by the handler. Called once if the caller leaves before the answer ended; the request
      * is gone when it returns. */
-    void (*on_gone)(void *ctx);
+    void (*on_disconnect)(void *ctx);
     /* Called when the answer's backlog has been written. */
     void (*on_drain)(void *ctx);
     void *ctx;
@@ -69,9 +69,9 @@
 bool wire_listener_is_accepting(const wire_listener_t *listener);
 /* Closes the connections with answers under way, so that a cut answer does not look whole: the
  * process is about to end. Their handlers are not told. */
-void wire_listener_cut(wire_listener_t *listener);
+void wire_listener_abort_responses(wire_listener_t *listener);
 /* From now on closes the connections on which no request has begun for this time. */
-void wire_listener_close_idle(wire_listener_t *listener, uint64_t rest_ms);
+void wire_listener_close_idle(wire_listener_t *listener, uint64_t idle_ms);
 
 /* Starts an answer. `fields` are whole header lines; `length` may be WIRE_CHUNKED or
  * WIRE_UNTIL_CLOSE. */
--- a/wire/pool.c
+++ b/wire/pool.c
@@ -31,9 +31,9 @@
 void
 client_conn_close(client_conn_t *conn)
 {
-    if (conn->dead)
+    if (conn->closed)
         return;
-    conn->dead = true;
+    conn->closed = true;
     uv_close((uv_handle_t *)&conn->tcp, on_handle_closed);
     uv_close((uv_handle_t *)&conn->timer, on_handle_closed);
 }
@@ -60,7 +60,7 @@
 
 /* True if the other side has ended the connection, or sent what nobody asked for. */
 static bool
-has_ended(const client_conn_t *conn)
+peer_closed(const client_conn_t *conn)
 {
     uv_os_fd_t fd;
     char byte;
@@ -72,38 +72,38 @@
 
 /* Time for which a kept connection may have rested to be used. */
 static uint64_t
-usable_ms(const client_conn_t *conn, uint64_t idle_max_ms)
+max_reuse_idle_ms(const client_conn_t *conn, uint64_t idle_max_ms)
 {
-    if (conn->keep_ms == 0)
+    if (conn->keep_alive_ms == 0)
         return idle_max_ms;
     const uint64_t announced =
-        conn->keep_ms > KEEP_ALIVE_MARGIN_MS ? conn->keep_ms - KEEP_ALIVE_MARGIN_MS : 0;
+        conn->keep_alive_ms > KEEP_ALIVE_MARGIN_MS ? conn->keep_alive_ms - KEEP_ALIVE_MARGIN_MS : 0;
     return announced < idle_max_ms ? announced : idle_max_ms;
 }
 
 client_conn_t *
-client_conn_take(wire_pool_t *pool, uint64_t idle_max_ms, bool looks_first)
+client_conn_acquire(wire_pool_t *pool, uint64_t idle_max_ms, bool probe_before_reuse)
 {
     const uint64_t now = loop_now(pool->loop);
     client_conn_t *next;
     for (client_conn_t *conn = pool->idle; conn != NULL; conn = next) {
         next = conn->next;
-        const uint64_t rested_ms = now - conn->idle_since_ms;
-        const bool is_old = conn->keep_ms > 0 && rested_ms > conn->keep_ms;
-        const bool is_young = rested_ms <= usable_ms(conn, idle_max_ms);
-        const bool ended = is_young && looks_first && has_ended(conn);
-        if (is_young && !ended) {
+        const uint64_t idle_ms = now - conn->idle_since_ms;
+        const bool expired = conn->keep_alive_ms > 0 && idle_ms > conn->keep_alive_ms;
+        const bool usable = idle_ms <= max_reuse_idle_ms(conn, idle_max_ms);
+        const bool closed = usable && probe_before_reuse && peer_closed(conn);
+        if (usable && !closed) {
             remove_idle(conn);
             return conn;
         }
-        if (is_old || ended)
+        if (expired || closed)
             client_conn_close_idle(conn);
     }
     return NULL;
 }
 
 void
-client_conn_keep(client_conn_t *conn)
+client_conn_release(client_conn_t *conn)
 {
     wire_pool_t *pool = conn->pool;
     conn->idle_since_ms = loop_now(pool->loop);
@@ -160,7 +160,7 @@
 }
 
 void
-wire_pool_sweep(wire_pool_t *pool, uint64_t idle_ms)
+wire_pool_close_idle(wire_pool_t *pool, uint64_t idle_ms)
 {
     const uint64_t now = loop_now(pool->loop);
     client_conn_t *next;
--- a/wire/request_reader.c
+++ b/wire/request_reader.c
@@ -11,7 +11,7 @@
 
 /* Bytes of a next request that are kept while one is answered; with more, the connection ends after
  * the answer. Chosen, not measured. */
-enum { EARLY_MAX = 65536 };
+enum { PIPELINED_MAX = 65536 };
 
 void
 request_reader_next(wire_conn_t *conn)
@@ -21,26 +21,26 @@
     conn->req.body = NULL;
     conn->req.body_len = 0;
     conn->body_size = 0;
-    conn->req.on_gone = NULL;
+    conn->req.on_disconnect = NULL;
     conn->req.on_drain = NULL;
-    conn->whole = false;
-    conn->started = false;
+    conn->request_complete = false;
+    conn->head_sent = false;
     wire_conn_set_state(conn, STATE_IDLE);
-    if (conn->early_len == 0)
+    if (conn->pipelined_len == 0)
         return;
-    char *early = conn->early;
-    const size_t len = conn->early_len;
-    conn->early = NULL;
-    conn->early_len = 0;
-    request_reader_feed(conn, early, len);
-    free(early);
+    char *pipelined = conn->pipelined;
+    const size_t len = conn->pipelined_len;
+    conn->pipelined = NULL;
+    conn->pipelined_len = 0;
+    request_reader_feed(conn, pipelined, len);
+    free(pipelined);
 }
 
 void
 request_reader_refuse(wire_conn_t *conn, int status)
 {
     LOG_DBG("request refused: status=%d", status);
-    conn->keep = false;
+    conn->keep_alive = false;
     wire_conn_set_state(conn, STATE_ANSWERING);
     wire_respond(&conn->req, status, STR(""), STR(""));
 }
@@ -85,7 +85,7 @@
 }
 
 static int
-on_head_done(http_parser *parser)
+on_headers_complete(http_parser *parser)
 {
     wire_conn_t *conn = parser->data;
     if (head_too_large(conn))
@@ -95,7 +95,7 @@
         return -1;
     conn->req.head.method = parser->method;
     conn->head_only = parser->method == HTTP_HEAD;
-    conn->keep = http_should_keep_alive(parser) != 0;
+    conn->keep_alive = http_should_keep_alive(parser) != 0;
     if (wire_head_find(&conn->req.head, STR("expect")).len > 0) {
         wire_text_str(&conn->out, STR("HTTP/1.1 100 Continue\r\n\r\n"));
         wire_conn_flush(conn);
@@ -124,7 +124,7 @@
 on_complete(http_parser *parser)
 {
     wire_conn_t *conn = parser->data;
-    conn->whole = true;
+    conn->request_complete = true;
     http_parser_pause(parser, 1);
     return 0;
 }
@@ -134,23 +134,23 @@
     .on_url = on_url,
     .on_header_field = on_field,
     .on_header_value = on_value,
-    .on_headers_complete = on_head_done,
+    .on_headers_complete = on_headers_complete,
     .on_body = on_body,
     .on_message_complete = on_complete,
 };
 
 static void
-keep_early(wire_conn_t *conn, const char *ptr, size_t len)
+buffer_pipelined(wire_conn_t *conn, const char *ptr, size_t len)
 {
     if (len == 0)
         return;
-    if (conn->early_len + len > EARLY_MAX) {
-        conn->keep = false;
+    if (conn->pipelined_len + len > PIPELINED_MAX) {
+        conn->keep_alive = false;
         return;
     }
-    conn->early = xrealloc(conn->early, conn->early_len + len);
-    memcpy(conn->early + conn->early_len, ptr, len);
-    conn->early_len += len;
+    conn->pipelined = xrealloc(conn->pipelined, conn->pipelined_len + len);
+    memcpy(conn->pipelined + conn->pipelined_len, ptr, len);
+    conn->pipelined_len += len;
 }
 
 static int
@@ -169,11 +169,11 @@
 request_reader_feed(wire_conn_t *conn, const char *ptr, size_t len)
 {
     if (conn->state == STATE_CLOSING) {
-        wire_conn_note_late(conn, len);
+        wire_conn_log_late_input(conn, len);
         return;
     }
     if (conn->state == STATE_ANSWERING) {
-        keep_early(conn, ptr, len);
+        buffer_pipelined(conn, ptr, len);
         return;
     }
     if (conn->state == STATE_IDLE) {
@@ -181,9 +181,9 @@
         conn->parser.data = conn;
     }
     const size_t used = http_parser_execute(&conn->parser, &parser_settings, ptr, len);
-    if (conn->whole) {
+    if (conn->request_complete) {
         http_parser_pause(&conn->parser, 0);
-        keep_early(conn, ptr + used, len - used);
+        buffer_pipelined(conn, ptr + used, len - used);
         wire_conn_set_state(conn, STATE_ANSWERING);
         conn->listener->handler(conn->listener->ctx, &conn->req);
         return;
--- a/wire/respond.c
+++ b/wire/respond.c
@@ -4,17 +4,17 @@
 /* Time that a request is given to arrive on a resting connection before that is closed, in
  * milliseconds. Chosen: bytes lay for 0.2 to 1.3 s on narrow links that were jammed
  * (docs/incidents/2026-12-02-config-storm.md). */
-enum { CROSSING_MS = 1000, MS_PER_S = 1000 };
+enum { CLOSE_RACE_MARGIN_MS = 1000, MS_PER_S = 1000 };
 
 /* Tells the caller for how long it may send on the resting connection; nothing if that is less than
  * a second, the unit of the field. */
 static void
 write_keep_alive(wire_conn_t *conn)
 {
-    const uint64_t rest = conn->idle_ms;
-    if (rest >= CROSSING_MS + MS_PER_S)
+    const uint64_t limit = conn->idle_limit_ms;
+    if (limit >= CLOSE_RACE_MARGIN_MS + MS_PER_S)
         wire_text_printf(&conn->out, "Keep-Alive: timeout=%llu\r\n",
-                         (unsigned long long)((rest - CROSSING_MS) / MS_PER_S));
+                         (unsigned long long)((limit - CLOSE_RACE_MARGIN_MS) / MS_PER_S));
     wire_text_str(&conn->out, STR("\r\n"));
 }
 
@@ -22,20 +22,20 @@
 wire_respond_head(wire_request_t *req, int status, str_t fields, int64_t length)
 {
     wire_conn_t *conn = (wire_conn_t *)req;
-    xassert(conn->state == STATE_ANSWERING && !conn->started);
-    conn->started = true;
-    conn->idle_ms = conn->listener->limits.idle_timeout_ms;
+    xassert(conn->state == STATE_ANSWERING && !conn->head_sent);
+    conn->head_sent = true;
+    conn->idle_limit_ms = conn->listener->limits.idle_timeout_ms;
     conn->chunked = length == WIRE_CHUNKED && conn->parser.http_minor >= 1;
     conn->until_close = length < 0 && !conn->chunked;
     if (conn->listener->draining || conn->until_close)
-        conn->keep = false;
+        conn->keep_alive = false;
     wire_text_printf(&conn->out, "HTTP/1.1 %d %s\r\n", status, wire_reason(status));
     wire_text_str(&conn->out, fields);
     if (length >= 0)
         wire_text_printf(&conn->out, "Content-Length: %lld\r\n", (long long)length);
     else if (conn->chunked)
         wire_text_str(&conn->out, STR("Transfer-Encoding: chunked\r\n"));
-    if (conn->keep)
+    if (conn->keep_alive)
         write_keep_alive(conn);
     else
         wire_text_str(&conn->out, STR("Connection: close\r\n\r\n"));
@@ -68,12 +68,12 @@
     wire_conn_t *conn = (wire_conn_t *)req;
     if (conn->chunked && !conn->head_only)
         wire_text_str(&conn->out, STR("0\r\n\r\n"));
-    conn->req.on_gone = NULL;
+    conn->req.on_disconnect = NULL;
     wire_conn_flush(conn);
-    if (conn->dead)
+    if (conn->closed)
         return;
-    if (conn->keep)
-        conn->listener->on_answered(conn);
+    if (conn->keep_alive)
+        conn->listener->on_response_end(conn);
     else
         wire_conn_finish(conn);
 }
@@ -82,7 +82,7 @@
 wire_respond_abort(wire_request_t *req)
 {
     wire_conn_t *conn = (wire_conn_t *)req;
-    conn->req.on_gone = NULL;
+    conn->req.on_disconnect = NULL;
     wire_conn_flush(conn);
     if (conn->until_close)
         wire_conn_reset(conn); /* an ordinary close would make the answer look whole */
--- a/wire/server_conn.c
+++ b/wire/server_conn.c
@@ -21,7 +21,7 @@
     wire_conn_t *conn = handle->data;
     wire_head_free(&conn->req.head);
     free(conn->req.body);
-    free(conn->early);
+    free(conn->pipelined);
     free(conn->out.ptr);
     free(conn);
 }
@@ -31,15 +31,15 @@
 static uint64_t
 state_age_ms(const wire_conn_t *conn)
 {
-    return loop_now(conn->listener->loop) - conn->since_ms;
+    return loop_now(conn->listener->loop) - conn->last_progress_ms;
 }
 
 void
-wire_conn_note_late(wire_conn_t *conn, size_t len)
+wire_conn_log_late_input(wire_conn_t *conn, size_t len)
 {
-    if (conn->told_late)
+    if (conn->late_input_logged)
         return;
-    conn->told_late = true;
+    conn->late_input_logged = true;
     counter_add(counter_get("irisstall_late_input_total", NULL,
                             "Caller connections with bytes after our end of them."),
                 1);
@@ -49,7 +49,7 @@
 
 /* A close for our own reason drops what libuv has not written. */
 static void
-note_unwritten(const wire_conn_t *conn)
+log_unwritten(const wire_conn_t *conn)
 {
     const size_t left = uv_stream_get_write_queue_size((const uv_stream_t *)&conn->tcp);
     if (left == 0)
@@ -64,9 +64,9 @@
 /* ---- the end ---- */
 
 static void
-forget_conn(wire_conn_t *conn)
+unlink_conn(wire_conn_t *conn)
 {
-    conn->dead = true;
+    conn->closed = true;
     *conn->slot = conn->next;
     if (conn->next != NULL)
         conn->next->slot = conn->slot;
@@ -76,27 +76,27 @@
 void
 wire_conn_close(wire_conn_t *conn)
 {
-    if (conn->dead)
+    if (conn->closed)
         return;
-    if (!conn->lost)
-        note_unwritten(conn);
-    forget_conn(conn);
+    if (!conn->disconnected)
+        log_unwritten(conn);
+    unlink_conn(conn);
     uv_close((uv_handle_t *)&conn->tcp, on_conn_closed);
 }
 
 void
 wire_conn_reset(wire_conn_t *conn)
 {
-    if (conn->dead)
+    if (conn->closed)
         return;
-    forget_conn(conn);
+    unlink_conn(conn);
     tcp_reset_on_close(&conn->tcp);
     uv_close((uv_handle_t *)&conn->tcp, on_conn_closed);
 }
 
 /* The end of its connection is the end of such an answer. */
 static bool
-would_look_whole(const wire_conn_t *conn)
+close_hides_truncation(const wire_conn_t *conn)
 {
     const size_t left = uv_stream_get_write_queue_size((const uv_stream_t *)&conn->tcp);
     return conn->until_close && (conn->state == STATE_ANSWERING || left > 0);
@@ -104,27 +104,27 @@
 
 /* A caller that has ended its side may still read. */
 void
-wire_conn_lose(wire_conn_t *conn)
+wire_conn_on_disconnect(wire_conn_t *conn)
 {
-    if (conn->dead)
+    if (conn->closed)
         return;
-    conn->lost = true;
-    void (*on_gone)(void *) = conn->state == STATE_ANSWERING ? conn->req.on_gone : NULL;
+    conn->disconnected = true;
+    void (*on_disconnect)(void *) = conn->state == STATE_ANSWERING ? conn->req.on_disconnect : NULL;
     void *ctx = conn->req.ctx;
-    conn->req.on_gone = NULL;
-    if (would_look_whole(conn))
+    conn->req.on_disconnect = NULL;
+    if (close_hides_truncation(conn))
         wire_conn_reset(conn);
     else
         wire_conn_close(conn);
-    if (on_gone != NULL)
-        on_gone(ctx);
+    if (on_disconnect != NULL)
+        on_disconnect(ctx);
 }
 
 void
 wire_conn_set_state(wire_conn_t *conn, wire_state_t state)
 {
     conn->state = state;
-    conn->since_ms = loop_now(conn->listener->loop);
+    conn->last_progress_ms = loop_now(conn->listener->loop);
 }
 
 static void
@@ -135,10 +135,10 @@
     conn->in_flight -= write->len;
     free(write->bytes);
     free(write);
-    if (conn->dead)
+    if (conn->closed)
         return;
     if (status != 0) {
-        wire_conn_lose(conn);
+        wire_conn_on_disconnect(conn);
         return;
     }
     if (conn->in_flight == 0 && conn->state == STATE_ANSWERING && conn->req.on_drain != NULL)
@@ -148,28 +148,28 @@
 void
 wire_conn_flush(wire_conn_t *conn)
 {
-    if (conn->dead || conn->out.len == 0)
+    if (conn->closed || conn->out.len == 0)
         return;
     uv_buf_t buf = uv_buf_init(conn->out.ptr, (unsigned)conn->out.len);
-    size_t done = 0;
+    size_t written = 0;
     if (conn->in_flight == 0) {
         const int n = uv_try_write((uv_stream_t *)&conn->tcp, &buf, 1);
         if (n > 0)
-            done = (size_t)n;
+            written = (size_t)n;
     }
-    const size_t rest = conn->out.len - done;
-    if (rest > 0) {
+    const size_t left = conn->out.len - written;
+    if (left > 0) {
         write_t *write = xmalloc(sizeof(*write));
         write->conn = conn;
-        write->len = rest;
-        write->bytes = xmemdup0(conn->out.ptr + done, rest);
-        buf = uv_buf_init(write->bytes, (unsigned)rest);
-        conn->in_flight += rest;
+        write->len = left;
+        write->bytes = xmemdup0(conn->out.ptr + written, left);
+        buf = uv_buf_init(write->bytes, (unsigned)left);
+        conn->in_flight += left;
         if (uv_write(&write->req, (uv_stream_t *)&conn->tcp, &buf, 1, on_written) != 0) {
-            conn->in_flight -= rest;
+            conn->in_flight -= left;
             free(write->bytes);
             free(write);
-            conn->keep = false;
+            conn->keep_alive = false;
         }
     }
     conn->out.len = 0;
