--- a/test/gateway/test_listener.c
+++ b/test/gateway/test_listener.c
@@ -1,5 +1,4 @@
-/* The listener and a caller's connection: how it ends, and what becomes of requests around the end.
- */
+/* Listener: connection close, idle timeouts and shutdown must not lose or truncate requests. */
 #include <errno.h>
 #include <fcntl.h>
 #include <stdlib.h>
@@ -17,7 +16,7 @@
     TIMEOUT_MS = 5000,
     SHORT_IDLE_MS = 100,
     LONG_IDLE_MS = 8000,
-    SWEEP_MS = 300,          /* longer than the listener's own check interval */
+    SWEEP_MS = 300,          /* longer than the listener's sweep interval */
     STALL_TIMEOUT_MS = 5000, /* listener.c: WRITE_STALL_TIMEOUT_MS */
     LARGE_RESPONSE = 4 << 20,
     SMALL_RECEIVE_BUFFER = 16384,
@@ -31,14 +30,14 @@
     addr_t addr;
     size_t requests;
     size_t response_len;
-    bool until_close; /* answers have no length */
-    bool leave_open;  /* their end is still to come */
+    bool until_close; /* responses are close-delimited */
+    bool leave_open;  /* responses are not ended */
 } server_t;
 
-/* A caller's socket, apart from the loop. */
+/* A client with its own non-blocking socket, not on the loop. */
 typedef struct {
     int fd;
-    char text[4096]; /* the beginning of what has come */
+    char text[4096]; /* start of the received bytes */
     size_t len;
     size_t total;
     bool eof;
@@ -125,7 +124,7 @@
     ck_assert(n == (ssize_t)sizeof(request) - 1);
 }
 
-/* Takes what has come. */
+/* Reads all available bytes. */
 static void
 receive(client_t *client)
 {
@@ -139,7 +138,7 @@
         client->total += (size_t)n;
     }
     client->eof |= n == 0;
-    /* After the other side's end, a reset is told as an error of the socket only. */
+    /* After EOF, a reset is reported only through SO_ERROR. */
     int error = n < 0 && errno != EAGAIN ? errno : 0;
     socklen_t size = sizeof(error);
     if (error == 0)
@@ -147,7 +146,7 @@
     client->reset |= error == ECONNRESET || error == EPIPE;
 }
 
-/* True once that many answers of the usual kind have come. */
+/* True once `count` default responses have been received. */
 static bool
 has_responses(client_t *client, size_t count)
 {
@@ -175,7 +174,7 @@
         ck_assert_msg(condition, "not reached: %s", #condition);                                   \
     } while (0)
 
-/* A connection on which one request has been answered. */
+/* Returns a client that has received one response. */
 static client_t
 client_after_response(server_t *server)
 {
@@ -191,7 +190,7 @@
     return counter_value(counter_get("irisstall_late_input_total", NULL, ""));
 }
 
-/* A caller may repeat what was certainly not read; what was read and dropped is lost to it. */
+/* A request that was read and then dropped could not be retried safely. */
 START_TEST(request_racing_idle_close_is_not_read)
 {
     server_t *server = new_server(SHORT_IDLE_MS);
@@ -207,7 +206,7 @@
 }
 END_TEST
 
-/* The process was held up: the request came in time and lies in the socket. */
+/* The process was stalled, and the request arrived before the idle timeout. */
 START_TEST(pending_request_is_answered_before_idle_close)
 {
     server_t *server = new_server(SHORT_IDLE_MS);
@@ -229,7 +228,7 @@
     ck_assert(!is_closed(&client));
     send_request(&client);
     RUN_UNTIL(server, has_responses(&client, 2));
-    /* From this answer on the new limit holds. */
+    /* The new limit applies from this response on. */
     RUN_UNTIL(server, is_closed(&client));
     close(client.fd);
 }
@@ -248,7 +247,7 @@
         ck_assert((field != NULL) == (rows[i].field != NULL));
         if (field != NULL)
             ck_assert(strstr(field, rows[i].field) == field + strlen("Keep-Alive: "));
-        /* None on an answer that ends its connection. */
+        /* No Keep-Alive field on the last response of a connection. */
         wire_listener_drain(server->listener);
         send_request(&client);
         RUN_UNTIL(server, has_responses(&client, 2));
@@ -260,7 +259,7 @@
 }
 END_TEST
 
-/* The link is narrow: the answer takes longer than a caller is given to close its side. */
+/* A response that takes longer to read than the close linger must not be truncated. */
 static void
 check_slow_read(server_t *server, const char *request)
 {
@@ -293,7 +292,7 @@
 }
 END_TEST
 
-/* A caller that does not read gets a part of an answer without a length. */
+/* Starts a large close-delimited response that the client does not read. */
 static void
 start_unread_response(server_t *server, client_t *client)
 {
@@ -304,22 +303,21 @@
     RUN_UNTIL(server, server->requests == 1);
 }
 
-/* Has the listener look at its connections now: before its own check is due, or when that is late.
- * What it had been asked for earlier is done first; one that comes late is put off to the next
- * poll. */
+/* Makes the listener sweep its connections now. Pending sweeps are run first; two polls are needed
+ * because a late sweep is deferred once. */
 static void
 sweep(server_t *server)
 {
     enum { MAX_POLLS = 2 };
     for (unsigned i = 0; i < MAX_POLLS; i++)
         uv_run(&server->loop, UV_RUN_NOWAIT);
-    wire_listener_close_idle(server->listener, UINT64_MAX); /* as it is from the start */
+    wire_listener_close_idle(server->listener, UINT64_MAX); /* the initial value */
     for (unsigned i = 0; i < MAX_POLLS; i++)
         uv_run(&server->loop, UV_RUN_NOWAIT);
 }
 
-/* Runs the loop until its clock has passed the time for which output may stand still, and expects
- * that the connection is kept until then. `begun_ms` is before the output stood still. */
+/* Runs the loop past the write stall timeout and checks that the connection is open until then.
+ * `begun_ms` is a time before the stall. */
 static void
 run_until_stall_timeout(server_t *server, uint64_t begun_ms)
 {
@@ -332,7 +330,7 @@
     }
 }
 
-/* The caller reads nothing before the connection is given up: the output moves again if it does. */
+/* The client reads only after the close, since reading would end the stall. */
 START_TEST(stalled_close_delimited_response_ends_in_reset)
 {
     server_t *server = new_server(LONG_IDLE_MS);
@@ -363,7 +361,7 @@
 }
 END_TEST
 
-/* A caller that ends its side counts as one that has left, but may still read. */
+/* A half-closed client counts as disconnected, but may still read. */
 static void
 check_half_close(server_t *server, client_t *client)
 {
@@ -378,9 +376,9 @@
 {
     server_t *server = new_server(LONG_IDLE_MS);
     client_t client;
-    if (_i == 0) { /* it is not written to its end */
+    if (_i == 0) { /* the response is not fully written */
         start_unread_response(server, &client);
-    } else { /* what there is of it has come */
+    } else { /* all written bytes have been received */
         server->until_close = true;
         server->leave_open = true;
         client = client_after_response(server);
@@ -390,7 +388,7 @@
 }
 END_TEST
 
-/* It was made in time, and its first request is on its way. */
+/* The first request may still be in transit when the shutdown starts. */
 START_TEST(shutdown_keeps_new_connection_for_first_request)
 {
     server_t *server = new_server(LONG_IDLE_MS);
--- a/wire/client.h
+++ b/wire/client.h
@@ -1,12 +1,10 @@
 /*
- * HTTP/1.1 calls to numeric addresses over kept connections, with the http-parser library.
+ * HTTP/1.1 client for numeric addresses with keep-alive connections, on http-parser.
  *
- * The end of a call tells what the other side can have seen: before WIRE_SENT no byte of the
- * request was handed to a connection, so the request has certainly not run. Bytes after a whole
- * answer close the connection; an answer that belongs to another request is skipped, and the
- * connection is not used again.
- *
- * Owns the connections of a pool and the bytes of a call. Relies on libuv, on head.h for heads.
+ * The stage of a finished call tells what the server may have received: below WIRE_SENT no byte of
+ * the request was written, so the request was certainly not processed. Bytes after a complete
+ * response close the connection. A response that belongs to another request is skipped and its
+ * connection is not reused.
  */
 #pragma once
 
@@ -20,62 +18,63 @@
 typedef struct wire_call wire_call_t;
 
 typedef enum {
-    WIRE_UNSENT,   /* nothing was sent */
-    WIRE_SENT,     /* bytes may have gone out */
-    WIRE_HEAD,     /* the answer's head has arrived */
-    WIRE_COMPLETE, /* the answer is whole */
+    WIRE_UNSENT,   /* no byte was written */
+    WIRE_SENT,     /* bytes may have been sent */
+    WIRE_HEAD,     /* the response head was received */
+    WIRE_COMPLETE, /* the response is complete */
 } wire_stage_t;
 
 typedef struct {
     wire_stage_t stage;
-    err_t err;            /* ERR_NONE when whole */
-    bool close_delimited; /* whole only because the connection ended */
-    bool closed;          /* failed because the other side closed or reset the connection */
+    err_t err;            /* ERR_NONE if the response is complete */
+    bool close_delimited; /* end of the response marked by the close */
+    bool closed;          /* failed on a close or reset by the server */
 } wire_call_result_t;
 
 typedef struct {
-    /* True if the answer belongs to this call; optional. */
+    /* Optional. True if the response belongs to this call. */
     bool (*matches)(void *ctx, const wire_head_t *head);
-    /* `length` of the body, or WIRE_CHUNKED or WIRE_UNTIL_CLOSE. */
+    /* `length` is the body length, WIRE_CHUNKED or WIRE_UNTIL_CLOSE. */
     void (*on_head)(void *ctx, const wire_head_t *head, int64_t length);
     void (*on_data)(void *ctx, const char *ptr, size_t len);
-    void (*on_end)(void *ctx,
-                   const wire_call_result_t *result); /* last; the call is gone after it */
+    /* Last callback; the call is freed afterwards. */
+    void (*on_end)(void *ctx, const wire_call_result_t *result);
 } wire_call_cbs_t;
 
 typedef struct {
-    char *request; /* head and body from malloc; the call frees it */
+    char *request; /* head and body, allocated with malloc; the call takes ownership */
     size_t request_len;
     uint64_t connect_timeout_ms;
-    uint64_t timeout_ms; /* until the answer's first byte; 0 leaves all times to the caller */
-    uint64_t
-        read_timeout_ms; /* between two reads of the answer; 0: `timeout_ms` is for all of it */
-    uint64_t total_timeout_ms; /* for the whole call, where `read_timeout_ms` is set */
-    uint64_t idle_max_ms;      /* a kept connection that has rested longer is not used */
+    uint64_t timeout_ms; /* until the first byte of the response; 0: no timeouts */
+    /* Between two reads of the response; 0: `timeout_ms` covers the whole call. */
+    uint64_t read_timeout_ms;
+    uint64_t total_timeout_ms; /* for the whole call; used only with `read_timeout_ms` */
+    uint64_t idle_max_ms;      /* connections idle for longer are not reused */
     bool head_method;          /* the request's method is HEAD */
-    bool probe_before_reuse; /* a kept connection that the other side has closed is not used, though
-                         the loop has not told yet; costs a system call */
+    /* Checks an idle connection with recv(MSG_PEEK) before reusing it, which detects a close that
+     * the loop has not reported yet. */
+    bool probe_before_reuse;
 } wire_call_conf_t;
 
-/* A pool of connections to one address, made as calls need them. */
+/* A pool of connections to one address, opened on demand. */
 wire_pool_t *wire_pool_new(uv_loop_t *loop, const addr_t *addr, size_t max_connections);
-/* Closes idle connections; the pool is freed once its calls have ended. */
+/* Closes idle connections; the pool is freed after its last call has ended. */
 void wire_pool_free(wire_pool_t *pool);
-/* The bound holds for new connections; open ones stay. */
+/* Limits new connections; open ones are kept. */
 void wire_pool_set_max(wire_pool_t *pool, size_t max_connections);
 const addr_t *wire_pool_addr(const wire_pool_t *pool);
-/* Closes idle connections that have rested for `idle_ms`. */
+/* Closes connections that have been idle for more than `idle_ms`. */
 void wire_pool_close_idle(wire_pool_t *pool, uint64_t idle_ms);
 
-/* The callbacks are never called before wire_call_start() has returned. */
+/* Callbacks never run before wire_call_start() has returned. */
 wire_call_t *wire_call_start(wire_pool_t *pool, const wire_call_conf_t *conf,
                              const wire_call_cbs_t *cbs, void *ctx);
-/* Ends the call without on_end and closes its connection. */
+/* Closes the connection and frees the call without calling on_end. */
 void wire_call_cancel(wire_call_t *call);
-/* The same for a call that got no answer in time: if nothing came on a kept connection, the pool's
- * other kept connections are closed too, since open ones may fall silent together. */
+/* Like wire_call_cancel(), for a call that timed out. If a reused connection received nothing, the
+ * pool's idle connections are closed too, because they are likely to be dead as well. */
 void wire_call_abort_on_timeout(wire_call_t *call);
-/* Stops and restarts reading of the answer, for back-pressure. */
+/* Pauses and resumes reading of the response, for back-pressure. */
 void wire_call_pause(wire_call_t *call);
 void wire_call_resume(wire_call_t *call);
 wire_stage_t wire_call_stage(const wire_call_t *call);
--- a/wire/client_call.c
+++ b/wire/client_call.c
@@ -6,7 +6,7 @@
 
 enum {
     READ_SIZE = 65536,
-    TIMEOUT_READ_GRACE_MS = 20, /* for what waits in the socket: a few rounds of the loop. Chosen */
+    TIMEOUT_READ_GRACE_MS = 20, /* a few loop iterations, to read pending input */
 };
 
 static char read_buffer[READ_SIZE];
@@ -37,7 +37,7 @@
     pool->busy_count--;
     if (reuse && !pool->freed && !conn->closed) {
         uv_timer_stop(&conn->timer);
-        /* The call may have paused reading with the answer's last bytes already here. */
+        /* The call may have paused reading after the last bytes were received. */
         client_call_start_reading(conn);
         client_conn_release(conn);
     } else {
@@ -63,9 +63,9 @@
     client_call_end(conn, false);
 }
 
-/* ---- time ---- */
+/* ---- timeouts ---- */
 
-/* True if bytes wait in the socket. */
+/* True if the socket has unread bytes. */
 static bool
 has_input(const client_conn_t *conn)
 {
@@ -75,8 +75,8 @@
            recv(fd, &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT) > 0;
 }
 
-/* Timers run before sockets are read: after a callback that took long, such as the decoding of a
- * large configuration, the answer may be there. */
+/* libuv runs timers before it polls sockets, so after a long callback the response may be waiting
+ * unread. In that case the timeout is deferred once. */
 static void
 on_call_timeout(uv_timer_t *timer)
 {
@@ -100,7 +100,7 @@
         uv_timer_start(&conn->timer, on_call_timeout, call->conf.timeout_ms, 0);
 }
 
-/* Bytes of the answer came: the next ones have their own time, up to that of the whole call. */
+/* Restarts the read timeout after input, capped by the timeout of the whole call. */
 static void
 restart_timer(client_conn_t *conn)
 {
@@ -122,7 +122,7 @@
     restart_timer(conn);
     switch (client_response_parse(conn, ptr, len)) {
     case RESPONSE_COMPLETE:
-        /* An answer before the request was written spoils the connection. */
+        /* Not reusable if the response completed before the request was written. */
         client_call_end(conn, conn->reusable && !conn->writing);
         return;
     case RESPONSE_INVALID:
@@ -134,7 +134,7 @@
     }
 }
 
-/* libuv tells a reset as an end when bytes came before it: ask the socket itself. */
+/* libuv may report a reset that follows data as EOF, so the socket is checked. */
 static bool
 was_reset(const client_conn_t *conn)
 {
@@ -153,7 +153,7 @@
         client_call_fail(conn, ERR_UNAVAILABLE, "reset before the answer was whole");
         return;
     }
-    /* An answer without a length ends with its connection. */
+    /* A response without a length ends when the connection closes. */
     switch (client_response_parse(conn, NULL, 0)) {
     case RESPONSE_COMPLETE:
         conn->call->result.close_delimited = true;
--- a/wire/client_call.h
+++ b/wire/client_call.h
@@ -1,23 +1,22 @@
 /*
- * A call on a connection: its request is sent, its answer read, its end told.
+ * Runs a call on a connection: sends the request, reads the response, reports the result.
  *
- * A call ends once: whole, failed, or cancelled. Its connection then closes or goes back to its
- * pool, as the answer and the state of the connection allow.
- *
- * Owns wire_call_t from client_call_send() on, and a connection while it is busy. Relies on
- * client_response.h for the answer, on pool.c for keeping and closing connections.
+ * A call ends exactly once: completed, failed or cancelled. Its connection is then closed or
+ * returned to the pool, depending on the response and on the connection's state.
  */
 #pragma once
 
 #include "wire/client_conn.h"
 
-/* Sends the request of the call that has a connection, and starts the call's time limit. */
+/* Sends the request of the connection's call and starts the call's timeout. */
 void client_call_send(client_conn_t *conn);
-/* Starts reading, also while the connection is idle: then it tells that the other side closes. */
+/* Starts reading; idle connections are read too, to detect a close by the server. */
 void client_call_start_reading(client_conn_t *conn);
-/* Nothing came in time: if the connection was a kept one, the idle ones of its pool are closed. */
+/* Called on a timeout. Closes the pool's idle connections if the connection was reused and nothing
+ * was received on it. */
 void client_call_close_idle_after_silence(client_conn_t *conn);
-/* Ends the call of a busy connection, which is closed or goes back to the pool. */
+/* Ends the connection's call. The connection is closed, or returned to the pool if `reuse`. */
 void client_call_end(client_conn_t *conn, bool reuse);
-/* The same after a failure. What may have been sent turns ERR_UNAVAILABLE into ERR_ANSWER_LOST. */
+/* Fails the connection's call and closes the connection. ERR_UNAVAILABLE becomes ERR_ANSWER_LOST if
+ * the request may have been sent. */
 void client_call_fail(client_conn_t *conn, err_code_t code, const char *what);
--- a/wire/client_conn.h
+++ b/wire/client_conn.h
@@ -1,8 +1,8 @@
 /*
- * Client connection: a connection to a backend server or to the store, and its pool. Inside of the
- * client. Its files call each other in this direction only: client.c (what others may call),
- * client_connect.c, client_call.c (a call on a connection), client_response.c (its answer) and
- * pool.c (which connection).
+ * Client connections and their pool; internal to the HTTP client.
+ *
+ * Dependencies between its files go in this direction only: client.c (public interface),
+ * client_connect.c, client_call.c (calls), client_response.c (responses), pool.c (connections).
  */
 #pragma once
 
@@ -18,7 +18,7 @@
     size_t max;
     size_t idle_count;
     size_t busy_count;
-    client_conn_t *idle; /* the most recently used first */
+    client_conn_t *idle; /* most recently used first */
     bool freed;
 };
 
@@ -34,12 +34,12 @@
     wire_head_t head;
     wire_call_t *call;
     uint64_t idle_since_ms;
-    uint64_t keep_alive_ms; /* announced idle time, 0 if none */
+    uint64_t keep_alive_ms; /* the server's Keep-Alive timeout, 0 if none */
     char *request;
-    bool reused; /* it has carried a call before the one under way */
+    bool reused; /* a call was made on it before the current one */
     bool closed;
     bool writing;
-    bool skip_response; /* the answer being read belongs to another request */
+    bool skip_response; /* the current response belongs to another request */
     bool reusable;
 };
 
@@ -49,22 +49,22 @@
     void *ctx;
     wire_call_conf_t conf;
     wire_call_result_t result;
-    uint64_t deadline_ms;  /* loop time by which an answer that goes on has to be whole */
-    bool timeout_deferred; /* its time is over, and the socket is read once more */
+    uint64_t deadline_ms;  /* loop time; limit of the whole call */
+    bool timeout_deferred; /* timed out, but unread input is processed first */
     bool done;
 };
 
-/* Closes the connection, which no longer counts in its pool. */
+/* Closes a connection that is not in the pool's idle list. */
 void client_conn_close(client_conn_t *conn);
-/* Closes a connection that lies in its pool. */
+/* Removes an idle connection from its pool and closes it. */
 void client_conn_close_idle(client_conn_t *conn);
-/* A new connection, not connected yet. */
+/* Allocates a connection; it is not connected yet. */
 client_conn_t *client_conn_open(wire_pool_t *pool);
-/* A kept connection that is young enough, NULL if there is none; older ones, and with
- * `probe_before_reuse` those that the other side has closed, are closed on the way. */
+/* Takes a reusable idle connection out of the pool, NULL if there is none. Closes connections whose
+ * Keep-Alive timeout has expired and, with `probe_before_reuse`, those closed by the server. */
 client_conn_t *client_conn_acquire(wire_pool_t *pool, uint64_t idle_max_ms,
                                    bool probe_before_reuse);
-/* Puts a connection whose call has ended into its pool. */
+/* Returns a connection to the pool after its call has ended. */
 void client_conn_release(client_conn_t *conn);
-/* Frees a pool that is given up once nothing of it is left. */
+/* Frees the pool if wire_pool_free() was called and no connection is left. */
 void wire_pool_release(wire_pool_t *pool);
--- a/wire/client_connect.c
+++ b/wire/client_connect.c
@@ -2,8 +2,7 @@
 #include "wire/client_call.h"
 #include "wire/client_connect.h"
 
-/* Unacknowledged bytes break the connection after this time, so that a backend without power is
- * noticed. Chosen, not measured. */
+/* TCP_USER_TIMEOUT: detects a backend server that lost power. */
 enum { TCP_USER_TIMEOUT_MS = 1200 };
 
 static void
--- a/wire/client_response.c
+++ b/wire/client_response.c
@@ -20,7 +20,7 @@
     return 0;
 }
 
-/* "timeout=N" of a Keep-Alive field in milliseconds, 0 if absent. */
+/* Returns "timeout=N" of the Keep-Alive field in milliseconds, 0 if absent. */
 static uint64_t
 parse_keep_alive_ms(const wire_head_t *head)
 {
--- a/wire/fetch.c
+++ b/wire/fetch.c
@@ -4,7 +4,6 @@
 #include "base/xmalloc.h"
 #include "wire/fetch.h"
 
-/* To the store, which answers within milliseconds. Chosen, not measured. */
 enum { CONNECT_TIMEOUT_MS = 1000, IDLE_MAX_MS = 8000 };
 
 typedef struct {
@@ -29,7 +28,7 @@
     free(fetch);
 }
 
-/* The rest of the answer is not waited for: it would fill a small link. */
+/* Cancels the call instead of draining the response, which would waste bandwidth. */
 static void
 reject_response(fetch_t *fetch)
 {
--- a/wire/listener.c
+++ b/wire/listener.c
@@ -12,22 +12,17 @@
 #include "wire/request_reader.h"
 
 enum {
-    LISTEN_BACKLOG = 512, /* chosen, not measured */
+    LISTEN_BACKLOG = 512,
     READ_SIZE = 65536,
-    SWEEP_INTERVAL_MS = 250, /* granularity of the idle and head timeouts. Chosen */
-    CLOSE_LINGER_MS = 1000,  /* from the last answer's last byte to our close. Chosen */
-    /* Output that has not moved for this time is given up. Chosen: well above the 1.5 s that bytes
-     * lay on full links (docs/incidents/2026-12-02-config-storm.md). The other times of a
-     * connection's end are CLOSE_RACE_MARGIN_MS of respond.c and REST_MAX_MS of
-     * gateway/policy/shutdown.c.
-     */
+    SWEEP_INTERVAL_MS = 250, /* granularity of the idle and head timeouts */
+    CLOSE_LINGER_MS = 1000,  /* wait for the client to close after the last response */
+    /* A connection whose output makes no progress for this time is closed. */
     WRITE_STALL_TIMEOUT_MS = 5000,
-    /* A sweep that comes this long after it was asked for is put off once: twice the time after
-     * which the next timer ends a poll. */
+    /* A sweep that runs later than this after its request is deferred once. */
     SWEEP_LATE_MS = 2 * SWEEP_INTERVAL_MS,
 };
 
-static char read_buffer[READ_SIZE]; /* one read at a time on the loop */
+static char read_buffer[READ_SIZE]; /* shared: reads on the loop do not overlap */
 
 static void
 on_alloc(uv_handle_t *handle, size_t suggested, uv_buf_t *buf)
@@ -81,8 +76,8 @@
     uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read);
 }
 
-/* Neither the rest after an answer nor the wait for the caller's close begins before the answer is
- * written, which takes long on a narrow link. */
+/* Idle time and close linger are counted from the last write progress, since a response may take
+ * long to be written on a slow link. */
 static void
 track_output_progress(wire_conn_t *conn)
 {
@@ -93,7 +88,7 @@
     conn->unwritten = left;
 }
 
-/* Callers rely on the limit that they knew at their last answer, and on a longer one at once. */
+/* The larger of the limit announced with the last response and the current one. */
 static uint64_t
 effective_idle_limit_ms(const wire_conn_t *conn)
 {
@@ -103,8 +98,8 @@
     return allowed < listener->max_idle_ms ? allowed : listener->max_idle_ms;
 }
 
-/* Closes with output that is not written: an answer that ends with its connection must not look
- * whole. */
+/* Closes a connection with unwritten output. A close-delimited response is reset, since a regular
+ * close would make it look complete. */
 static void
 abort_conn(wire_conn_t *conn)
 {
@@ -114,9 +109,8 @@
         wire_conn_close(conn);
 }
 
-/* A resting connection is closed on both sides at once. A request that crosses the close is refused
- * by a reset without having been read, which tells the caller that it may be sent again; were it
- * read after our end, it would be lost without a word. */
+/* Closes an idle connection in both directions at once. A request that races with the close is then
+ * answered by a reset without being read, so the client knows that it can retry safely. */
 static void
 sweep_conn(wire_conn_t *conn)
 {
@@ -160,7 +154,7 @@
     if (now - listener->sweep_ms > SWEEP_LATE_MS && !listener->sweep_deferred) {
         listener->sweep_deferred = true;
         listener->sweep_ms = now;
-        return; /* the check stays active: it runs again after the next poll */
+        return; /* the check handle stays active and runs after the next poll */
     }
     listener->sweep_deferred = false;
     uv_check_stop(after_poll);
@@ -172,10 +166,10 @@
     }
 }
 
-/* The sweep waits until the loop has read what lies in the sockets: timers run before that, and
- * many are due at once when the process has been held up. If the process is paused while the loop
- * polls, the poll ends without having read or accepted what came meanwhile: such a sweep is put off
- * to the next poll, and ages are as of when it was asked for. */
+/* Schedules a sweep after the next poll, when pending input has been read: timers run before the
+ * poll, and many expire at once after the process was stalled. If the process is paused during the
+ * poll, input that arrived meanwhile is read only by the following one, so a late sweep is deferred
+ * once. Ages are computed as of the time at which the sweep was requested. */
 static void
 request_sweep(wire_listener_t *listener)
 {
@@ -204,7 +198,7 @@
     uv_tcp_init(loop, &listener->tcp);
     listener->tcp.data = listener;
     if (!tcp_listen(&listener->tcp, addr, LISTEN_BACKLOG, on_accept, &listener->port, err))
-        return NULL; /* the process exits; the handle lives until then */
+        return NULL; /* the process exits on this error, so the handle is not closed */
     uv_check_init(loop, &listener->after_poll);
     listener->after_poll.data = listener;
     uv_timer_init(loop, &listener->timer);
--- a/wire/listener.h
+++ b/wire/listener.h
@@ -1,22 +1,17 @@
 /*
- * An HTTP/1.1 listener on libuv with the http-parser library.
+ * HTTP/1.1 server on libuv and http-parser.
  *
- * libh2o's server is not used on the request path: it does not read a connection while a handler
- * works (a caller that leaves goes unnoticed), has one timeout for slow heads and idle
- * connections, and cannot close idle connections on a planned stop
- * (docs/design/gateway/overview.md).
+ * libh2o's server is not used here: it does not read from a connection while a request is being
+ * handled, so it cannot detect a disconnect; it has a single timeout for slow heads and idle
+ * connections; and it cannot close idle connections on shutdown.
  *
- * Owns the connections and the requests that are not answered yet. Relies on libuv; server_conn.h,
- * request_reader.h and respond.c are inside of it.
+ * A connection handles one request at a time. The handler gets the complete request and responds
+ * with wire_respond_*(). A request lives until its response has ended, it was aborted, or the
+ * client has disconnected.
  *
- * One request a connection at a time. The handler is called with the whole request and answers
- * through wire_respond_*(). The request lives until the answer has ended, was aborted, or the
- * caller has left, whichever comes first.
- *
- * What a caller with one request at a time sends is answered, or was not read, as long as the
- * process goes on: answers announce for how long their connection may be used again, a second less
- * than it is kept; a resting connection is closed in one step, and only after the loop has read
- * what has come.
+ * A client that does not pipeline either gets a response to its request or knows that the request
+ * was not read: the announced Keep-Alive timeout is one second below the actual one, and an idle
+ * connection is closed only after pending input has been read.
  */
 #pragma once
 
@@ -30,11 +25,11 @@
 typedef struct wire_request wire_request_t;
 
 typedef struct {
-    size_t max_head;          /* bytes; larger ones get 431 */
-    size_t max_body;          /* bytes; larger ones get 413 */
+    size_t max_head;          /* bytes; larger heads get 431 */
+    size_t max_body;          /* bytes; larger bodies get 413 */
     uint64_t head_timeout_ms; /* from a request's first byte to its last */
     uint64_t idle_timeout_ms; /* between requests */
-    size_t max_connections;   /* further ones are closed at once */
+    size_t max_connections;   /* connections above the limit are closed immediately */
 } wire_limits_t;
 
 typedef void (*wire_handler_t)(void *ctx, wire_request_t *req);
@@ -43,12 +38,12 @@
     wire_head_t head;
     char *body;
     size_t body_len;
-    uint64_t begun_ms; /* loop time of its first byte */
-    addr_t caller;     /* where its connection comes from */
-    /* Set by the handler. Called once if the caller leaves before the answer ended; the request
-     * is gone when it returns. */
+    uint64_t begun_ms; /* loop time at its first byte */
+    addr_t caller;     /* peer address of the connection */
+    /* Set by the handler. Called once if the client disconnects before the response has ended; the
+     * request is freed afterwards. */
     void (*on_disconnect)(void *ctx);
-    /* Called when the answer's backlog has been written. */
+    /* Called when all buffered response bytes have been written. */
     void (*on_drain)(void *ctx);
     void *ctx;
 };
@@ -57,33 +52,33 @@
                                      const wire_limits_t *limits, wire_handler_t handler, void *ctx,
                                      err_t *err);
 uint16_t wire_listener_port(const wire_listener_t *listener);
-/* New limits, also for connections that are open; but these may rest for as long as was allowed at
- * their last answer. */
+/* Applies to open connections too, but a shorter idle timeout takes effect on them only with their
+ * next response. */
 void wire_listener_set_limits(wire_listener_t *listener, const wire_limits_t *limits);
 size_t wire_listener_connections(const wire_listener_t *listener);
-/* From now on every answer asks the caller to close its connection. */
+/* Adds "Connection: close" to all further responses. */
 void wire_listener_drain(wire_listener_t *listener);
-/* Accepts the connections that wait, then closes the port. */
+/* Accepts the connections in the backlog, then closes the listening socket. */
 void wire_listener_stop_accepting(wire_listener_t *listener);
-/* False once connections that waited have been accepted and no more are. */
+/* False after the listening socket has been closed. */
 bool wire_listener_is_accepting(const wire_listener_t *listener);
-/* Closes the connections with answers under way, so that a cut answer does not look whole: the
- * process is about to end. Their handlers are not told. */
+/* Closes the connections with unfinished responses before the process exits, such that the client
+ * can detect the truncation. on_disconnect is not called. */
 void wire_listener_abort_responses(wire_listener_t *listener);
-/* From now on closes the connections on which no request has begun for this time. */
+/* From now on closes connections that have been idle for `idle_ms`. */
 void wire_listener_close_idle(wire_listener_t *listener, uint64_t idle_ms);
 
-/* Starts an answer. `fields` are whole header lines; `length` may be WIRE_CHUNKED or
+/* Starts a response. `fields` holds complete header lines; `length` may be WIRE_CHUNKED or
  * WIRE_UNTIL_CLOSE. */
 void wire_respond_head(wire_request_t *req, int status, str_t fields, int64_t length);
 void wire_respond_data(wire_request_t *req, const char *ptr, size_t len);
-/* Hands what is buffered to the socket. */
+/* Writes buffered bytes to the socket. */
 void wire_respond_flush(wire_request_t *req);
-/* Ends the answer; `req` is gone afterwards. */
+/* Ends the response; `req` is invalid afterwards. */
 void wire_respond_end(wire_request_t *req);
-/* Closes the connection in the middle of an answer, so that it does not look whole. */
+/* Closes the connection during a response, such that the client can detect the truncation. */
 void wire_respond_abort(wire_request_t *req);
-/* A whole answer; `req` is gone afterwards. */
+/* Sends a complete response; `req` is invalid afterwards. */
 void wire_respond(wire_request_t *req, int status, str_t fields, str_t body);
-/* Bytes not yet taken by the socket. */
+/* Response bytes not yet written to the socket. */
 size_t wire_respond_backlog(const wire_request_t *req);
--- a/wire/pool.c
+++ b/wire/pool.c
@@ -6,8 +6,7 @@
 #include "base/xmalloc.h"
 #include "wire/client_conn.h"
 
-/* Taken off the idle time that the other side announces, which it counts in whole seconds. Chosen,
- * not measured. */
+/* Safety margin subtracted from the server's Keep-Alive timeout. */
 enum { KEEP_ALIVE_MARGIN_MS = 800 };
 
 void
@@ -58,7 +57,7 @@
     wire_pool_release(pool);
 }
 
-/* True if the other side has ended the connection, or sent what nobody asked for. */
+/* True if the server has closed the connection or sent unsolicited bytes. */
 static bool
 peer_closed(const client_conn_t *conn)
 {
@@ -70,7 +69,7 @@
     return n >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
-/* Time for which a kept connection may have rested to be used. */
+/* Idle time up to which a connection may be reused. */
 static uint64_t
 max_reuse_idle_ms(const client_conn_t *conn, uint64_t idle_max_ms)
 {
@@ -140,7 +139,7 @@
 wire_pool_free(wire_pool_t *pool)
 {
     pool->freed = true;
-    pool->busy_count++; /* keeps the pool until the loop below has ended */
+    pool->busy_count++; /* keeps the pool alive during the loop below */
     while (pool->idle != NULL)
         client_conn_close_idle(pool->idle);
     pool->busy_count--;
--- a/wire/request_reader.c
+++ b/wire/request_reader.c
@@ -9,8 +9,7 @@
 #include "base/xmalloc.h"
 #include "wire/request_reader.h"
 
-/* Bytes of a next request that are kept while one is answered; with more, the connection ends after
- * the answer. Chosen, not measured. */
+/* Limit of pipelined input; above it, the connection is closed after the current response. */
 enum { PIPELINED_MAX = 65536 };
 
 void
--- a/wire/respond.c
+++ b/wire/respond.c
@@ -1,13 +1,12 @@
 #include "base/xmalloc.h"
 #include "wire/server_conn.h"
 
-/* Time that a request is given to arrive on a resting connection before that is closed, in
- * milliseconds. Chosen: bytes lay for 0.2 to 1.3 s on narrow links that were jammed
- * (docs/incidents/2026-12-02-config-storm.md). */
+/* The announced Keep-Alive timeout is shorter than the actual one by this margin, which covers the
+ * transit time of a request on a congested link. */
 enum { CLOSE_RACE_MARGIN_MS = 1000, MS_PER_S = 1000 };
 
-/* Tells the caller for how long it may send on the resting connection; nothing if that is less than
- * a second, the unit of the field. */
+/* Adds the Keep-Alive field, unless the announced timeout would be below one second, and ends the
+ * head. */
 static void
 write_keep_alive(wire_conn_t *conn)
 {
@@ -85,7 +84,7 @@
     conn->req.on_disconnect = NULL;
     wire_conn_flush(conn);
     if (conn->until_close)
-        wire_conn_reset(conn); /* an ordinary close would make the answer look whole */
+        wire_conn_reset(conn); /* a regular close would make the response look complete */
     else
         wire_conn_close(conn);
 }
--- a/wire/server_conn.c
+++ b/wire/server_conn.c
@@ -26,7 +26,7 @@
     free(conn);
 }
 
-/* ---- what is lost by a close ---- */
+/* ---- data lost by a close ---- */
 
 static uint64_t
 state_age_ms(const wire_conn_t *conn)
@@ -47,7 +47,7 @@
              (unsigned long long)state_age_ms(conn));
 }
 
-/* A close for our own reason drops what libuv has not written. */
+/* Counts and logs output that a local close discards. */
 static void
 log_unwritten(const wire_conn_t *conn)
 {
@@ -61,7 +61,7 @@
              conn->listener->port, left, (int)conn->state, (unsigned long long)state_age_ms(conn));
 }
 
-/* ---- the end ---- */
+/* ---- closing ---- */
 
 static void
 unlink_conn(wire_conn_t *conn)
@@ -94,7 +94,7 @@
     uv_close((uv_handle_t *)&conn->tcp, on_conn_closed);
 }
 
-/* The end of its connection is the end of such an answer. */
+/* True if a regular close would make a truncated close-delimited response look complete. */
 static bool
 close_hides_truncation(const wire_conn_t *conn)
 {
@@ -102,7 +102,7 @@
     return conn->until_close && (conn->state == STATE_ANSWERING || left > 0);
 }
 
-/* A caller that has ended its side may still read. */
+/* A client that has shut down its output may still read, hence the reset. */
 void
 wire_conn_on_disconnect(wire_conn_t *conn)
 {
