--- a/wire/client_call.c
+++ b/wire/client_call.c
@@ -88,7 +88,7 @@
         return;
     }
     client_call_close_idle_after_silence(conn);
-    client_call_fail(conn, ERR_TIMEOUT, "no whole answer in time");
+    client_call_fail(conn, ERR_TIMEOUT, "response timed out");
 }
 
 static void
@@ -150,7 +150,8 @@
 {
     conn->call->result.closed = true;
     if (was_reset(conn)) {
-        client_call_fail(conn, ERR_UNAVAILABLE, "reset before the answer was whole");
+        client_call_fail(conn, ERR_UNAVAILABLE,
+                         "connection reset before the response was complete");
         return;
     }
     /* A response without a length ends when the connection closes. */
@@ -162,7 +163,8 @@
         return;
     case RESPONSE_INCOMPLETE:
     case RESPONSE_INVALID:
-        client_call_fail(conn, ERR_UNAVAILABLE, "closed before the answer was whole");
+        client_call_fail(conn, ERR_UNAVAILABLE,
+                         "connection closed before the response was complete");
         return;
     case RESPONSE_CANCELLED:
         return;
--- a/wire/client_connect.c
+++ b/wire/client_connect.c
@@ -9,7 +9,7 @@
 on_connect_timeout(uv_timer_t *timer)
 {
     client_conn_t *conn = timer->data;
-    client_call_fail(conn, ERR_UNAVAILABLE, "not connected in time");
+    client_call_fail(conn, ERR_UNAVAILABLE, "failed to connect in time");
 }
 
 static void
--- a/wire/fetch.c
+++ b/wire/fetch.c
@@ -33,7 +33,7 @@
 reject_response(fetch_t *fetch)
 {
     err_t err = {0};
-    err_set(&err, ERR_TOO_LARGE, "answer above %zu bytes", fetch->max_body);
+    err_set(&err, ERR_TOO_LARGE, "response larger than %zu bytes", fetch->max_body);
     wire_call_cancel(fetch->call);
     finish(fetch, &err);
 }
--- a/wire/listener.c
+++ b/wire/listener.c
@@ -50,7 +50,8 @@
 {
     wire_listener_t *listener = stream->data;
     if (status != 0) {
-        LOG_WARN("connection not accepted: port=%u err=%s", listener->port, uv_strerror(status));
+        LOG_WARN("failed to accept connection: port=%u err=%s", listener->port,
+                 uv_strerror(status));
         return;
     }
     wire_conn_t *conn = xcalloc(1, sizeof(*conn));
--- a/wire/request_reader.c
+++ b/wire/request_reader.c
@@ -38,7 +38,7 @@
 void
 request_reader_refuse(wire_conn_t *conn, int status)
 {
-    LOG_DBG("request refused: status=%d", status);
+    LOG_DBG("request rejected: status=%d", status);
     conn->keep_alive = false;
     wire_conn_set_state(conn, STATE_ANSWERING);
     wire_respond(&conn->req, status, STR(""), STR(""));
--- a/wire/server_conn.c
+++ b/wire/server_conn.c
@@ -41,10 +41,10 @@
         return;
     conn->late_input_logged = true;
     counter_add(counter_get("irisstall_late_input_total", NULL,
-                            "Caller connections with bytes after our end of them."),
+                            "Client connections with input after output was shut down."),
                 1);
-    LOG_WARN("bytes after our close: port=%u bytes=%zu after_ms=%llu", conn->listener->port, len,
-             (unsigned long long)state_age_ms(conn));
+    LOG_WARN("input after output shutdown: port=%u bytes=%zu after_ms=%llu", conn->listener->port,
+             len, (unsigned long long)state_age_ms(conn));
 }
 
 /* Counts and logs output that a local close discards. */
@@ -55,9 +55,9 @@
     if (left == 0)
         return;
     counter_add(counter_get("irisstall_answers_cut_by_close_total", NULL,
-                            "Caller connections closed with unwritten answer bytes."),
+                            "Client connections closed with unwritten response bytes."),
                 1);
-    LOG_WARN("answer cut by our close: port=%u unwritten=%zu state=%d after_ms=%llu",
+    LOG_WARN("response truncated by close: port=%u unwritten=%zu state=%d after_ms=%llu",
              conn->listener->port, left, (int)conn->state, (unsigned long long)state_age_ms(conn));
 }
 
