--- a/wire/client.c
+++ b/wire/client.c
@@ -13,14 +13,14 @@
     call->ctx = ctx;
     call->conf = *conf;
     client_conn_t *conn = client_conn_acquire(pool, conf->idle_max_ms, conf->probe_before_reuse);
-    const bool kept = conn != NULL;
-    if (!kept)
+    const bool reused = conn != NULL;
+    if (!reused)
         conn = client_conn_open(pool);
     pool->busy_count++;
-    conn->reused = kept;
+    conn->reused = reused;
     conn->call = call;
     call->conn = conn;
-    if (kept)
+    if (reused)
         client_call_send(conn);
     else
         client_connect(conn);
