--- a/gateway/path/end_check.h
+++ b/gateway/path/end_check.h
@@ -6,7 +6,7 @@
  * the process is gone; a timeout is inconclusive because the link may be down. At most one check
  * per backend runs at a time and serves all requests whose connections broke.
  *
- * Holds a reference to the backend during the check. Relies on wire/reach.h for the connection;
+ * Holds a reference to the backend during the check. Relies on wire/tcp_probe.h for the connection;
  * state/suspects.h receives the outcome.
  */
 #pragma once
--- a/gateway/path/exchange.c
+++ b/gateway/path/exchange.c
@@ -155,7 +155,7 @@
     ex->deadline_at_ms = deadline_of(ex);
     if (ex->metadata.has_deadline)
         ex->prior_wait_ms = router_record_caller(router, ex->route, ex->metadata.deadline_ms);
-    req->on_gone = on_caller_disconnected;
+    req->on_disconnect = on_caller_disconnected;
     req->on_drain = on_caller_drained;
     req->ctx = ex;
     dispatch_next(ex);
--- a/gateway/resume.c
+++ b/gateway/resume.c
@@ -38,7 +38,7 @@
     while (resume->queue != NULL) {
         wire_request_t *req = resume->queue->req;
         unlink_queued(resume->queue);
-        req->on_gone = NULL;
+        req->on_disconnect = NULL;
         req->ctx = NULL;
         resume->conf.serve(resume->conf.ctx, req);
     }
@@ -88,7 +88,7 @@
     resume_queued_t *queued = xcalloc(1, sizeof(*queued));
     queued->resume = resume;
     queued->req = req;
-    req->on_gone = on_caller_disconnected;
+    req->on_disconnect = on_caller_disconnected;
     req->ctx = queued;
     resume_queued_t **slot = &resume->queue;
     while (*slot != NULL)
--- a/wire/listener.c
+++ b/wire/listener.c
@@ -12,21 +12,17 @@
 #include "wire/request_reader.h"
 
 enum {
-    LISTEN_BACKLOG = 512, /* chosen, not measured */
+    LISTEN_BACKLOG = 512,
     READ_SIZE = 65536,
-    CHECK_EVERY_MS = 250,   /* granularity of the idle and head timeouts. Chosen */
-    CLOSE_LINGER_MS = 1000, /* from the last answer's last byte to our close. Chosen */
-    /* Output that has not moved for this time is given up. Chosen: well above the 1.5 s that bytes
-     * lay on full links (docs/incidents/2026-12-02-config-storm.md). The other times of a
-     * connection's end are CROSSING_MS of respond.c and REST_MAX_MS of gateway/policy/shutdown.c.
-     */
-    WRITE_STALLED_MS = 5000,
-    /* A sweep that comes this long after it was asked for is put off once: twice the time after
-     * which the next timer ends a poll. */
-    SWEEP_LATE_MS = 2 * CHECK_EVERY_MS,
+    SWEEP_INTERVAL_MS = 250, /* granularity of the idle and head timeouts */
+    CLOSE_LINGER_MS = 1000,  /* wait for the client to close after the last response */
+    /* A connection whose output makes no progress for this time is closed. */
+    WRITE_STALL_TIMEOUT_MS = 5000,
+    /* A sweep that runs later than this after its request is deferred once. */
+    SWEEP_LATE_MS = 2 * SWEEP_INTERVAL_MS,
 };
 
-static char read_buffer[READ_SIZE]; /* one read at a time on the loop */
+static char read_buffer[READ_SIZE]; /* shared: reads on the loop do not overlap */
 
 static void
 on_alloc(uv_handle_t *handle, size_t suggested, uv_buf_t *buf)
@@ -40,10 +36,10 @@
 on_read(uv_stream_t *stream, ssize_t n, const uv_buf_t *buf)
 {
     wire_conn_t *conn = stream->data;
-    if (conn->dead || n == 0)
+    if (conn->closed || n == 0)
         return;
     if (n < 0) {
-        wire_conn_lose(conn);
+        wire_conn_on_disconnect(conn);
         return;
     }
     request_reader_feed(conn, buf->base, (size_t)n);
@@ -54,7 +50,8 @@
 {
     wire_listener_t *listener = stream->data;
     if (status != 0) {
-        LOG_WARN("connection not accepted: port=%u err=%s", listener->port, uv_strerror(status));
+        LOG_WARN("failed to accept connection: port=%u err=%s", listener->port,
+                 uv_strerror(status));
         return;
     }
     wire_conn_t *conn = xcalloc(1, sizeof(*conn));
@@ -75,37 +72,37 @@
     uv_tcp_nodelay(&conn->tcp, 1);
     int len = sizeof(conn->req.caller);
     uv_tcp_getpeername(&conn->tcp, &conn->req.caller.sa, &len);
-    conn->idle_ms = listener->limits.idle_timeout_ms;
+    conn->idle_limit_ms = listener->limits.idle_timeout_ms;
     wire_conn_set_state(conn, STATE_IDLE);
     uv_read_start((uv_stream_t *)&conn->tcp, on_alloc, on_read);
 }
 
-/* Neither the rest after an answer nor the wait for the caller's close begins before the answer is
- * written, which takes long on a narrow link. */
+/* Idle time and close linger are counted from the last write progress, since a response may take
+ * long to be written on a slow link. */
 static void
-note_output(wire_conn_t *conn)
+track_output_progress(wire_conn_t *conn)
 {
     const size_t left = uv_stream_get_write_queue_size((const uv_stream_t *)&conn->tcp);
-    const bool answered = conn->state == STATE_IDLE || conn->state == STATE_CLOSING;
-    if (answered && left != conn->unwritten)
-        conn->since_ms = loop_now(conn->listener->loop);
+    const bool response_ended = conn->state == STATE_IDLE || conn->state == STATE_CLOSING;
+    if (response_ended && left != conn->unwritten)
+        conn->last_progress_ms = loop_now(conn->listener->loop);
     conn->unwritten = left;
 }
 
-/* Callers rely on the limit that they knew at their last answer, and on a longer one at once. */
+/* The larger of the limit announced with the last response and the current one. */
 static uint64_t
-allowed_rest_ms(const wire_conn_t *conn)
+effective_idle_limit_ms(const wire_conn_t *conn)
 {
     const wire_listener_t *listener = conn->listener;
     const uint64_t limit = listener->limits.idle_timeout_ms;
-    const uint64_t allowed = conn->idle_ms > limit ? conn->idle_ms : limit;
-    return allowed < listener->rest_max_ms ? allowed : listener->rest_max_ms;
+    const uint64_t allowed = conn->idle_limit_ms > limit ? conn->idle_limit_ms : limit;
+    return allowed < listener->max_idle_ms ? allowed : listener->max_idle_ms;
 }
 
-/* Closes with output that is not written: an answer that ends with its connection must not look
- * whole. */
+/* Closes a connection with unwritten output. A close-delimited response is reset, since a regular
+ * close would make it look complete. */
 static void
-cut_conn(wire_conn_t *conn)
+abort_conn(wire_conn_t *conn)
 {
     if (conn->until_close)
         wire_conn_reset(conn);
@@ -113,18 +110,17 @@
         wire_conn_close(conn);
 }
 
-/* A resting connection is closed on both sides at once. A request that crosses the close is refused
- * by a reset without having been read, which tells the caller that it may be sent again; were it
- * read after our end, it would be lost without a word. */
+/* Closes an idle connection in both directions at once. A request that races with the close is then
+ * answered by a reset without being read, so the client knows that it can retry safely. */
 static void
 sweep_conn(wire_conn_t *conn)
 {
-    note_output(conn);
+    track_output_progress(conn);
     const uint64_t now = conn->listener->sweep_ms;
-    const uint64_t age = now > conn->since_ms ? now - conn->since_ms : 0;
+    const uint64_t age = now > conn->last_progress_ms ? now - conn->last_progress_ms : 0;
     switch (conn->state) {
     case STATE_IDLE:
-        if (age >= (conn->unwritten > 0 ? WRITE_STALLED_MS : allowed_rest_ms(conn)))
+        if (age >= (conn->unwritten > 0 ? WRITE_STALL_TIMEOUT_MS : effective_idle_limit_ms(conn)))
             wire_conn_close(conn);
         break;
     case STATE_READING:
@@ -134,8 +130,8 @@
     case STATE_ANSWERING:
         break;
     case STATE_CLOSING:
-        if (conn->unwritten > 0 && age > WRITE_STALLED_MS)
-            cut_conn(conn);
+        if (conn->unwritten > 0 && age > WRITE_STALL_TIMEOUT_MS)
+            abort_conn(conn);
         else if (conn->unwritten == 0 && age > CLOSE_LINGER_MS)
             wire_conn_close(conn);
         break;
@@ -156,12 +152,12 @@
 {
     wire_listener_t *listener = after_poll->data;
     const uint64_t now = loop_now(listener->loop);
-    if (now - listener->sweep_ms > SWEEP_LATE_MS && !listener->sweep_put_off) {
-        listener->sweep_put_off = true;
+    if (now - listener->sweep_ms > SWEEP_LATE_MS && !listener->sweep_deferred) {
+        listener->sweep_deferred = true;
         listener->sweep_ms = now;
-        return; /* the check stays active: it runs again after the next poll */
+        return; /* the check handle stays active and runs after the next poll */
     }
-    listener->sweep_put_off = false;
+    listener->sweep_deferred = false;
     uv_check_stop(after_poll);
     close_port(listener);
     wire_conn_t *next;
@@ -171,10 +167,10 @@
     }
 }
 
-/* The sweep waits until the loop has read what lies in the sockets: timers run before that, and
- * many are due at once when the process has been held up. If the process is paused while the loop
- * polls, the poll ends without having read or accepted what came meanwhile: such a sweep is put off
- * to the next poll, and ages are as of when it was asked for. */
+/* Schedules a sweep after the next poll, when pending input has been read: timers run before the
+ * poll, and many expire at once after the process was stalled. If the process is paused during the
+ * poll, input that arrived meanwhile is read only by the following one, so a late sweep is deferred
+ * once. Ages are computed as of the time at which the sweep was requested. */
 static void
 request_sweep(wire_listener_t *listener)
 {
@@ -184,7 +180,7 @@
 }
 
 static void
-on_check(uv_timer_t *timer)
+on_sweep_timer(uv_timer_t *timer)
 {
     request_sweep(timer->data);
 }
@@ -198,17 +194,17 @@
     listener->limits = *limits;
     listener->handler = handler;
     listener->ctx = ctx;
-    listener->on_answered = request_reader_next;
-    listener->rest_max_ms = UINT64_MAX;
+    listener->on_response_end = request_reader_next;
+    listener->max_idle_ms = UINT64_MAX;
     uv_tcp_init(loop, &listener->tcp);
     listener->tcp.data = listener;
     if (!tcp_listen(&listener->tcp, addr, LISTEN_BACKLOG, on_accept, &listener->port, err))
-        return NULL; /* the process exits; the handle lives until then */
+        return NULL; /* the process exits on this error, so the handle is not closed */
     uv_check_init(loop, &listener->after_poll);
     listener->after_poll.data = listener;
     uv_timer_init(loop, &listener->timer);
     listener->timer.data = listener;
-    uv_timer_start(&listener->timer, on_check, CHECK_EVERY_MS, CHECK_EVERY_MS);
+    uv_timer_start(&listener->timer, on_sweep_timer, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS);
     return listener;
 }
 
@@ -244,9 +240,9 @@
 }
 
 void
-wire_listener_close_idle(wire_listener_t *listener, uint64_t rest_ms)
+wire_listener_close_idle(wire_listener_t *listener, uint64_t idle_ms)
 {
-    listener->rest_max_ms = rest_ms;
+    listener->max_idle_ms = idle_ms;
     request_sweep(listener);
 }
 
@@ -257,12 +253,12 @@
 }
 
 void
-wire_listener_cut(wire_listener_t *listener)
+wire_listener_abort_responses(wire_listener_t *listener)
 {
     wire_conn_t *next;
     for (wire_conn_t *conn = listener->conns; conn != NULL; conn = next) {
         next = conn->next;
         if (conn->state == STATE_ANSWERING || conn->state == STATE_CLOSING)
-            cut_conn(conn);
+            abort_conn(conn);
     }
 }
--- a/wire/pool.c
+++ b/wire/pool.c
@@ -6,8 +6,7 @@
 #include "base/xmalloc.h"
 #include "wire/client_conn.h"
 
-/* Taken off the idle time that the other side announces, which it counts in whole seconds. Chosen,
- * not measured. */
+/* Safety margin subtracted from the server's Keep-Alive timeout. */
 enum { KEEP_ALIVE_MARGIN_MS = 800 };
 
 void
@@ -31,9 +30,9 @@
 void
 client_conn_close(client_conn_t *conn)
 {
-    if (conn->dead)
+    if (conn->closed)
         return;
-    conn->dead = true;
+    conn->closed = true;
     uv_close((uv_handle_t *)&conn->tcp, on_handle_closed);
     uv_close((uv_handle_t *)&conn->timer, on_handle_closed);
 }
@@ -58,9 +57,9 @@
     wire_pool_release(pool);
 }
 
-/* True if the other side has ended the connection, or sent what nobody asked for. */
+/* True if the server has closed the connection or sent unsolicited bytes. */
 static bool
-has_ended(const client_conn_t *conn)
+peer_closed(const client_conn_t *conn)
 {
     uv_os_fd_t fd;
     char byte;
@@ -70,40 +69,40 @@
     return n >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
-/* Time for which a kept connection may have rested to be used. */
+/* Idle time up to which a connection may be reused. */
 static uint64_t
-usable_ms(const client_conn_t *conn, uint64_t idle_max_ms)
+max_reuse_idle_ms(const client_conn_t *conn, uint64_t idle_max_ms)
 {
-    if (conn->keep_ms == 0)
+    if (conn->keep_alive_ms == 0)
         return idle_max_ms;
     const uint64_t announced =
-        conn->keep_ms > KEEP_ALIVE_MARGIN_MS ? conn->keep_ms - KEEP_ALIVE_MARGIN_MS : 0;
+        conn->keep_alive_ms > KEEP_ALIVE_MARGIN_MS ? conn->keep_alive_ms - KEEP_ALIVE_MARGIN_MS : 0;
     return announced < idle_max_ms ? announced : idle_max_ms;
 }
 
 client_conn_t *
-client_conn_take(wire_pool_t *pool, uint64_t idle_max_ms, bool looks_first)
+client_conn_acquire(wire_pool_t *pool, uint64_t idle_max_ms, bool probe_before_reuse)
 {
     const uint64_t now = loop_now(pool->loop);
     client_conn_t *next;
     for (client_conn_t *conn = pool->idle; conn != NULL; conn = next) {
         next = conn->next;
-        const uint64_t rested_ms = now - conn->idle_since_ms;
-        const bool is_old = conn->keep_ms > 0 && rested_ms > conn->keep_ms;
-        const bool is_young = rested_ms <= usable_ms(conn, idle_max_ms);
-        const bool ended = is_young && looks_first && has_ended(conn);
-        if (is_young && !ended) {
+        const uint64_t idle_ms = now - conn->idle_since_ms;
+        const bool expired = conn->keep_alive_ms > 0 && idle_ms > conn->keep_alive_ms;
+        const bool usable = idle_ms <= max_reuse_idle_ms(conn, idle_max_ms);
+        const bool closed = usable && probe_before_reuse && peer_closed(conn);
+        if (usable && !closed) {
             remove_idle(conn);
             return conn;
         }
-        if (is_old || ended)
+        if (expired || closed)
             client_conn_close_idle(conn);
     }
     return NULL;
 }
 
 void
-client_conn_keep(client_conn_t *conn)
+client_conn_release(client_conn_t *conn)
 {
     wire_pool_t *pool = conn->pool;
     conn->idle_since_ms = loop_now(pool->loop);
@@ -140,7 +139,7 @@
 wire_pool_free(wire_pool_t *pool)
 {
     pool->freed = true;
-    pool->busy_count++; /* keeps the pool until the loop below has ended */
+    pool->busy_count++; /* keeps the pool alive during the loop below */
     while (pool->idle != NULL)
         client_conn_close_idle(pool->idle);
     pool->busy_count--;
@@ -160,7 +159,7 @@
 }
 
 void
-wire_pool_sweep(wire_pool_t *pool, uint64_t idle_ms)
+wire_pool_close_idle(wire_pool_t *pool, uint64_t idle_ms)
 {
     const uint64_t now = loop_now(pool->loop);
     client_conn_t *next;
