--- a/base/addr.c
+++ b/base/addr.c
@@ -80,7 +80,7 @@
 }
 
 int
-addr_order(const addr_t *a, const addr_t *b)
+addr_compare(const addr_t *a, const addr_t *b)
 {
     char left[ADDR_TEXT_MAX];
     char right[ADDR_TEXT_MAX];
--- a/base/addr.h
+++ b/base/addr.h
@@ -28,4 +28,4 @@
 void addr_set_port(addr_t *addr, uint16_t port);
 bool addr_eq(const addr_t *a, const addr_t *b);
 /* Below, at or above 0: any order in which equal ones stand together. */
-int addr_order(const addr_t *a, const addr_t *b);
+int addr_compare(const addr_t *a, const addr_t *b);
--- a/base/bucket.c
+++ b/base/bucket.c
@@ -5,18 +5,18 @@
 static void
 refill(bucket_t *bucket, uint64_t now_ms)
 {
-    if (now_ms <= bucket->at_ms)
+    if (now_ms <= bucket->refilled_ms)
         return;
-    bucket->tokens += (double)(now_ms - bucket->at_ms) * bucket->rate / MS_PER_S;
+    bucket->tokens += (double)(now_ms - bucket->refilled_ms) * bucket->rate / MS_PER_S;
     if (bucket->tokens > bucket->burst)
         bucket->tokens = bucket->burst;
-    bucket->at_ms = now_ms;
+    bucket->refilled_ms = now_ms;
 }
 
 void
 bucket_init(bucket_t *bucket, double rate, double burst, uint64_t now_ms)
 {
-    *bucket = (bucket_t){.rate = rate, .burst = burst, .tokens = burst, .at_ms = now_ms};
+    *bucket = (bucket_t){.rate = rate, .burst = burst, .tokens = burst, .refilled_ms = now_ms};
 }
 
 void
--- a/base/bucket.h
+++ b/base/bucket.h
@@ -12,7 +12,7 @@
     double rate;  /* tokens a second */
     double burst; /* most tokens kept */
     double tokens;
-    uint64_t at_ms;
+    uint64_t refilled_ms;
 } bucket_t;
 
 /* Starts full. */
--- a/base/counter.c
+++ b/base/counter.c
@@ -81,7 +81,7 @@
 }
 
 static size_t
-bucket_of(uint64_t us)
+bucket_index(uint64_t us)
 {
     if (us < SUB_COUNT)
         return (size_t)us;
@@ -92,7 +92,7 @@
 }
 
 static uint64_t
-bucket_top(size_t bucket)
+bucket_upper_bound(size_t bucket)
 {
     if (bucket < SUB_COUNT)
         return bucket;
@@ -131,7 +131,7 @@
 void
 histogram_record(histogram_t *histogram, uint64_t us)
 {
-    histogram->buckets[bucket_of(us)]++;
+    histogram->buckets[bucket_index(us)]++;
     histogram->total++;
     histogram->sum_us += us;
 }
@@ -154,7 +154,7 @@
     for (size_t i = 0; i < BUCKET_COUNT; i++) {
         seen += histogram->buckets[i];
         if (seen >= rank)
-            return bucket_top(i);
+            return bucket_upper_bound(i);
     }
     BUG("histogram total does not match its buckets");
 }
@@ -170,7 +170,7 @@
     uint64_t seen = 0;
     size_t bucket = 0;
     for (size_t i = 0; i < ALEN(bounds_us); i++) {
-        while (bucket < BUCKET_COUNT && bucket_top(bucket) <= bounds_us[i])
+        while (bucket < BUCKET_COUNT && bucket_upper_bound(bucket) <= bounds_us[i])
             seen += h->buckets[bucket++];
         fprintf(out, "%s_bucket{%s%sle=\"%g\"} %lu\n", h->name, labels, comma,
                 (double)bounds_us[i] / 1e6, (unsigned long)seen);
--- a/base/event_rate.c
+++ b/base/event_rate.c
@@ -7,15 +7,15 @@
 static double
 count_now(const event_rate_t *rate, double tau_ms, uint64_t now_ms)
 {
-    const double passed_ms = now_ms > rate->at_ms ? (double)(now_ms - rate->at_ms) : 0;
-    return rate->count * exp(-passed_ms / tau_ms);
+    const double elapsed_ms = now_ms > rate->updated_ms ? (double)(now_ms - rate->updated_ms) : 0;
+    return rate->count * exp(-elapsed_ms / tau_ms);
 }
 
 void
 event_rate_add(event_rate_t *rate, double events, double tau_ms, uint64_t now_ms)
 {
     rate->count = count_now(rate, tau_ms, now_ms) + events;
-    rate->at_ms = now_ms > rate->at_ms ? now_ms : rate->at_ms;
+    rate->updated_ms = now_ms > rate->updated_ms ? now_ms : rate->updated_ms;
 }
 
 double
--- a/base/event_rate.h
+++ b/base/event_rate.h
@@ -9,7 +9,7 @@
 
 typedef struct {
     double count; /* of which an event `tau_ms` ago counts 1/e */
-    uint64_t at_ms;
+    uint64_t updated_ms;
 } event_rate_t;
 
 /* So many more events; fewer if `events` is below 0. `tau_ms` is the time constant. */
--- a/base/log.c
+++ b/base/log.c
@@ -92,7 +92,7 @@
 static const log4c_appender_type_t appender_type = {.name = "irisstall", .append = append};
 
 static bool
-start_library(log_level_t level, err_t *err)
+init_log4c(log_level_t level, err_t *err)
 {
     if (log4c_init() != 0) {
         err_set(err, ERR_SYSTEM, "log4c_init failed");
@@ -118,7 +118,7 @@
         .burst = LINES_BURST,
     };
     ring = log_ring_new(&conf);
-    return start_library(level, err);
+    return init_log4c(level, err);
 }
 
 void
@@ -147,7 +147,7 @@
     } else {
         out = stderr;
     }
-    return start_library(level, err);
+    return init_log4c(level, err);
 }
 
 void
--- a/base/log_ring.c
+++ b/base/log_ring.c
@@ -9,7 +9,7 @@
 #include "base/log_ring.h"
 #include "base/xmalloc.h"
 
-enum { MODULES_MAX = 24, NOTE_MAX = 128, NAME_LEN = 24 };
+enum { MODULES_MAX = 24, DROP_LINE_MAX = 128, NAME_LEN = 24 };
 
 typedef struct {
     char name[NAME_LEN];
@@ -64,7 +64,7 @@
 }
 
 static bool
-put(log_ring_t *ring, const char *line, size_t len)
+append_line(log_ring_t *ring, const char *line, size_t len)
 {
     if (ring->len + len + 1 > ring->conf.size)
         return false;
@@ -77,14 +77,14 @@
 }
 
 static void
-tell_dropped(log_ring_t *ring, module_t *module)
+report_dropped(log_ring_t *ring, module_t *module)
 {
-    char note[NOTE_MAX];
-    const int len = snprintf(note, sizeof(note),
+    char line[DROP_LINE_MAX];
+    const int len = snprintf(line, sizeof(line),
                              "v=1 level=WARN module=log event=\"lines dropped\" "
                              "of=%s lines=%llu",
                              module->name, (unsigned long long)module->dropped);
-    if (put(ring, note, (size_t)len))
+    if (append_line(ring, line, (size_t)len))
         module->dropped = 0;
 }
 
@@ -94,8 +94,8 @@
     module_t *module = find_module(ring, module_name, now_ms);
     const bool allowed = bucket_take(&module->bucket, 1, now_ms);
     if (allowed && module->dropped > 0)
-        tell_dropped(ring, module);
-    if (allowed && put(ring, line, strlen(line)))
+        report_dropped(ring, module);
+    if (allowed && append_line(ring, line, strlen(line)))
         return true;
     module->dropped++;
     ring->dropped++;
@@ -106,8 +106,8 @@
 log_ring_flush(log_ring_t *ring)
 {
     while (ring->len > 0) {
-        const size_t straight = ring->conf.size - ring->start;
-        const size_t len = ring->len < straight ? ring->len : straight;
+        const size_t contiguous = ring->conf.size - ring->start;
+        const size_t len = ring->len < contiguous ? ring->len : contiguous;
         const ssize_t n = write(ring->conf.fd, ring->bytes + ring->start, len);
         if (n < 0 && errno == EINTR)
             continue;
--- a/base/loop_time.c
+++ b/base/loop_time.c
@@ -8,15 +8,15 @@
     NS_PER_MS = 1000000,
     /* The two clocks are not read at the same moment: less is not taken for a suspension. A reading
      * that took longer is repeated in the next turn. */
-    NOISE_MS = 5,
+    CLOCK_TOLERANCE_MS = 5,
 };
 
 static struct {
-    uint64_t at;        /* cached loop time of the last look */
-    bool known;         /* `ahead_ms` is */
-    uint64_t ahead_ms;  /* of CLOCK_BOOTTIME, when last looked */
-    uint64_t timers_ms; /* of suspensions, that timers know of */
-    uint64_t total_ms;  /* of suspensions */
+    uint64_t last_now_ms;         /* cached loop time of the last update_offset */
+    bool offset_known;            /* `offset_ms` is */
+    uint64_t offset_ms;           /* of CLOCK_BOOTTIME, when last looked */
+    uint64_t timers_suspended_ms; /* of suspensions, that timers know of */
+    uint64_t total_suspended_ms;  /* of suspensions */
 } state;
 
 static uint64_t
@@ -26,34 +26,34 @@
 }
 
 static void
-look(void)
+update_offset(void)
 {
     const uint64_t before = monotonic_ms();
-    const uint64_t ahead = clock_steady_ms(clock_system()) - before;
-    if (monotonic_ms() - before > NOISE_MS)
+    const uint64_t offset = clock_steady_ms(clock_system()) - before;
+    if (monotonic_ms() - before > CLOCK_TOLERANCE_MS)
         return;
-    if (state.known && ahead < state.ahead_ms + NOISE_MS)
+    if (state.offset_known && offset < state.offset_ms + CLOCK_TOLERANCE_MS)
         return;
-    if (state.known)
-        state.total_ms += ahead - state.ahead_ms;
-    state.known = true;
-    state.ahead_ms = ahead;
+    if (state.offset_known)
+        state.total_suspended_ms += offset - state.offset_ms;
+    state.offset_known = true;
+    state.offset_ms = offset;
 }
 
 uint64_t
 loop_now(const uv_loop_t *loop)
 {
     const uint64_t now = uv_now(loop);
-    if (now != state.at || !state.known) {
-        state.at = now;
-        look();
+    if (now != state.last_now_ms || !state.offset_known) {
+        state.last_now_ms = now;
+        update_offset();
     }
-    return now + state.total_ms;
+    return now + state.total_suspended_ms;
 }
 
 /* A timer keeps its callback and its repeat; it becomes due earlier. */
 static void
-bring_forward(uv_handle_t *handle, void *ctx)
+advance_timer(uv_handle_t *handle, void *ctx)
 {
     const uint64_t by_ms = *(const uint64_t *)ctx;
     if (handle->type != UV_TIMER || !uv_is_active(handle) || uv_is_closing(handle))
@@ -67,38 +67,38 @@
 }
 
 static void
-on_turn(uv_check_t *check)
+on_iteration(uv_check_t *check)
 {
     loop_watch_t *watch = check->data;
     const uint64_t now_ms = loop_now(check->loop);
-    const uint64_t turn_ms = now_ms - watch->turn_ms;
-    uint64_t suspended_ms = state.total_ms - state.timers_ms;
-    watch->turn_ms = now_ms;
-    state.timers_ms = state.total_ms;
+    const uint64_t iteration_ms = now_ms - watch->last_iteration_ms;
+    uint64_t suspended_ms = state.total_suspended_ms - state.timers_suspended_ms;
+    watch->last_iteration_ms = now_ms;
+    state.timers_suspended_ms = state.total_suspended_ms;
     if (suspended_ms > 0)
-        uv_walk(check->loop, bring_forward, &suspended_ms);
-    if (turn_ms >= watch->still_min_ms)
-        watch->on_resumed(watch->ctx, turn_ms);
+        uv_walk(check->loop, advance_timer, &suspended_ms);
+    if (iteration_ms >= watch->stall_threshold_ms)
+        watch->on_resumed(watch->ctx, iteration_ms);
 }
 
 void
-loop_watch_init(loop_watch_t *watch, uv_loop_t *loop, uint64_t still_min_ms,
-                loop_resumed_t on_resumed, void *ctx)
+loop_watch_init(loop_watch_t *watch, uv_loop_t *loop, uint64_t stall_threshold_ms,
+                loop_resumed_cb_t on_resumed, void *ctx)
 {
     *watch = (loop_watch_t){
-        .turn_ms = loop_now(loop),
-        .still_min_ms = still_min_ms,
+        .last_iteration_ms = loop_now(loop),
+        .stall_threshold_ms = stall_threshold_ms,
         .on_resumed = on_resumed,
         .ctx = ctx,
     };
     uv_check_init(loop, &watch->check);
     watch->check.data = watch;
-    uv_check_start(&watch->check, on_turn);
+    uv_check_start(&watch->check, on_iteration);
     uv_unref((uv_handle_t *)&watch->check);
 }
 
 void
 loop_time_suspend(uint64_t ms)
 {
-    state.total_ms += ms;
+    state.total_suspended_ms += ms;
 }
--- a/base/loop_time.h
+++ b/base/loop_time.h
@@ -19,21 +19,21 @@
 /* The loop's time with suspensions. */
 uint64_t loop_now(const uv_loop_t *loop);
 
-/* The loop has stood still for `still_ms`: the process was stopped, or the machine suspended. */
-typedef void (*loop_resumed_t)(void *ctx, uint64_t still_ms);
+/* The loop has stood still for `stalled_ms`: the process was stopped, or the machine suspended. */
+typedef void (*loop_resumed_cb_t)(void *ctx, uint64_t stalled_ms);
 
 typedef struct {
     uv_check_t check;
-    uint64_t turn_ms; /* loop time of the last turn */
-    uint64_t still_min_ms;
-    loop_resumed_t on_resumed;
+    uint64_t last_iteration_ms; /* loop time of the last turn */
+    uint64_t stall_threshold_ms;
+    loop_resumed_cb_t on_resumed;
     void *ctx;
 } loop_watch_t;
 
 /* Has timers that are due by loop time run after a suspension, and reports turns of the loop that
- * took `still_min_ms` or more. The loop must be kept turning more often. */
-void loop_watch_init(loop_watch_t *watch, uv_loop_t *loop, uint64_t still_min_ms,
-                     loop_resumed_t on_resumed, void *ctx);
+ * took `stall_threshold_ms` or more. The loop must be kept turning more often. */
+void loop_watch_init(loop_watch_t *watch, uv_loop_t *loop, uint64_t stall_threshold_ms,
+                     loop_resumed_cb_t on_resumed, void *ctx);
 
 /* For tests: the machine was suspended for so long. */
 void loop_time_suspend(uint64_t ms);
--- a/base/str.c
+++ b/base/str.c
@@ -18,7 +18,7 @@
 }
 
 bool
-str_eq_secret(str_t a, str_t b)
+str_eq_constant_time(str_t a, str_t b)
 {
     unsigned char differs = 0;
     if (a.len != b.len)
@@ -29,7 +29,7 @@
 }
 
 int
-str_order(str_t a, str_t b)
+str_compare(str_t a, str_t b)
 {
     const int order = memcmp(a.ptr, b.ptr, a.len < b.len ? a.len : b.len);
     return order != 0 ? order : (a.len > b.len) - (a.len < b.len);
--- a/base/str.h
+++ b/base/str.h
@@ -29,9 +29,9 @@
 str_t str_from(const char *cstr); /* NULL gives an empty string */
 bool str_eq(str_t a, str_t b);
 /* The same in a time that depends on the lengths alone, not on where they differ: for keys. */
-bool str_eq_secret(str_t a, str_t b);
+bool str_eq_constant_time(str_t a, str_t b);
 /* Below, at or above 0 as `a` comes before, equals or comes after `b`, byte by byte. */
-int str_order(str_t a, str_t b);
+int str_compare(str_t a, str_t b);
 bool str_starts_with(str_t s, str_t prefix);
 /* Without the blanks at both ends. */
 str_t str_trim(str_t s);
--- a/base/tcp.c
+++ b/base/tcp.c
@@ -50,10 +50,10 @@
 void
 tcp_reset_on_close(uv_tcp_t *tcp)
 {
-    static const struct linger at_once = {.l_onoff = 1, .l_linger = 0};
+    static const struct linger zero_linger = {.l_onoff = 1, .l_linger = 0};
     uv_os_fd_t fd;
     if (uv_fileno((uv_handle_t *)tcp, &fd) != 0)
         return; /* closed already */
-    if (setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once)) != 0)
+    if (setsockopt(fd, SOL_SOCKET, SO_LINGER, &zero_linger, sizeof(zero_linger)) != 0)
         LOG_WARN("reset on close not set: err=%s", strerror(errno));
 }
--- a/base/yaml.c
+++ b/base/yaml.c
@@ -63,12 +63,12 @@
 {
     const char *text = messages->text;
     const int shown = (int)(messages->shown_len > 0 ? messages->shown_len : messages->len);
-    static const char *const leads[] = {"Unexpected key: ", "already seen: ", "mapping field '"};
-    for (size_t i = 0; i < ALEN(leads); i++) {
-        const char *at = strstr(text, leads[i]);
+    static const char *const prefixes[] = {"Unexpected key: ", "already seen: ", "mapping field '"};
+    for (size_t i = 0; i < ALEN(prefixes); i++) {
+        const char *at = strstr(text, prefixes[i]);
         if (at == NULL)
             continue;
-        at += strlen(leads[i]);
+        at += strlen(prefixes[i]);
         char key[64];
         snprintf(key, sizeof(key), "%.*s", (int)strcspn(at, ";' "), at);
         err_set(err, ERR_PARSE, "%s:%zu: %s: %s: %.*s", path, yaml_line_of(path, key), key,
--- a/entry/gossip_heartbeat.c
+++ b/entry/gossip_heartbeat.c
@@ -94,7 +94,7 @@
         attach_loads(node, &beat, &loads);
         peer_send(node->hub, &outsider->peer, &message);
     }
-    peer_hub_sweep(node->hub, IDLE_CONNECTION_MS);
+    peer_hub_sweep_idle(node->hub, IDLE_CONNECTION_MS);
 }
 
 static void
--- a/gateway/gateway_work.c
+++ b/gateway/gateway_work.c
@@ -111,7 +111,7 @@
 {
     gateway_t *gateway = ctx;
     if (still_ms >= PEER_STALLED_MS)
-        peer_hub_sweep(gateway->hub, PEER_STALLED_MS);
+        peer_hub_sweep_idle(gateway->hub, PEER_STALLED_MS);
     close_idle_connections(gateway);
     heartbeat_resume(&gateway->heartbeat, loop_now(gateway->loop));
 }
--- a/gateway/membership/account_exchange.c
+++ b/gateway/membership/account_exchange.c
@@ -43,7 +43,7 @@
 static int
 by_receiver(const void *left, const void *right)
 {
-    return addr_order(&((const parcel_t *)left)->to, &((const parcel_t *)right)->to);
+    return addr_compare(&((const parcel_t *)left)->to, &((const parcel_t *)right)->to);
 }
 
 /* Sends the parcels, those of a receiver together, and frees them. */
--- a/gateway/membership/members.c
+++ b/gateway/membership/members.c
@@ -77,7 +77,7 @@
         if (!member_alive(member, now_ms) || member->leaving || member->region != region ||
             (served && member->store_failing))
             continue;
-        rank += str_order(name_str(&member->instance), own) < 0;
+        rank += str_compare(name_str(&member->instance), own) < 0;
     }
     return rank;
 }
--- a/gateway/resume.c
+++ b/gateway/resume.c
@@ -75,7 +75,8 @@
 bool
 resume_is_behind(const resume_t *resume)
 {
-    return resume->waits || loop_now(resume->conf.loop) - resume->watch.turn_ms >= RESUME_STILL_MS;
+    return resume->waits ||
+           loop_now(resume->conf.loop) - resume->watch.last_iteration_ms >= RESUME_STILL_MS;
 }
 
 bool
--- a/gateway/state/catalog_backends.c
+++ b/gateway/state/catalog_backends.c
@@ -215,7 +215,7 @@
     for (size_t i = 0; i < view->count; i++) {
         const view_item_t *item = &view->items[i];
         const str_t id = str_from(item->name);
-        while (at < backends->count && str_order(name_str(&backends->items[at]->info.id), id) < 0)
+        while (at < backends->count && str_compare(name_str(&backends->items[at]->info.id), id) < 0)
             schedule_removal(change, backends->items[at++]);
         const bool known = at < backends->count && name_eq(&backends->items[at]->info.id, id);
         backend_t *backend = known ? backends->items[at++] : NULL;
--- a/gateway/state/config.c
+++ b/gateway/state/config.c
@@ -88,7 +88,7 @@
 {
     const config_service_t *a = left;
     const config_service_t *b = right;
-    return str_order(name_str(&a->name), name_str(&b->name));
+    return str_compare(name_str(&a->name), name_str(&b->name));
 }
 
 bool
@@ -135,7 +135,7 @@
     size_t high = config->service_count;
     while (low < high) {
         const size_t mid = low + (high - low) / 2;
-        const int order = str_order(name_str(&config->services[mid].name), name);
+        const int order = str_compare(name_str(&config->services[mid].name), name);
         if (order == 0)
             return &config->services[mid];
         if (order < 0)
--- a/gateway/state/config_accounts.c
+++ b/gateway/state/config_accounts.c
@@ -124,7 +124,7 @@
     const search_t search = {config, str_hash(key, config->key_seed)};
     size_t at = search_lower_bound(config->key_count, is_key_below, &search);
     for (; at < config->key_count && config->keys[at].hash == search.wanted; at++) {
-        if (str_eq_secret(key_text(&config->keys[at]), key))
+        if (str_eq_constant_time(key_text(&config->keys[at]), key))
             return config_account(config, config->keys[at].account);
     }
     return NULL;
--- a/gateway/state/departures.c
+++ b/gateway/state/departures.c
@@ -23,7 +23,7 @@
 is_below(const void *ctx, size_t index)
 {
     const wanted_t *wanted = ctx;
-    return str_order(name_str(&wanted->departures->items[index].backend), wanted->backend) < 0;
+    return str_compare(name_str(&wanted->departures->items[index].backend), wanted->backend) < 0;
 }
 
 /* Index of the first one whose id is not below `backend`. */
--- a/gateway/state/services.c
+++ b/gateway/state/services.c
@@ -21,7 +21,7 @@
     size_t high = services->count;
     while (low < high) {
         const size_t mid = low + (high - low) / 2;
-        if (str_order(name_str(&services->items[mid]->name), name) < 0)
+        if (str_compare(name_str(&services->items[mid]->name), name) < 0)
             low = mid + 1;
         else
             high = mid;
--- a/gateway/state/view.c
+++ b/gateway/state/view.c
@@ -41,7 +41,7 @@
     size_t high = view->count;
     while (low < high) {
         const size_t mid = low + (high - low) / 2;
-        if (str_order(str_from(view->items[mid].name), name) < 0)
+        if (str_compare(str_from(view->items[mid].name), name) < 0)
             low = mid + 1;
         else
             high = mid;
@@ -120,7 +120,7 @@
 static int
 by_name(const void *left, const void *right)
 {
-    return str_order(*(const str_t *)left, *(const str_t *)right);
+    return str_compare(*(const str_t *)left, *(const str_t *)right);
 }
 
 static name_list_t
--- a/gateway/state/view_push.c
+++ b/gateway/state/view_push.c
@@ -65,7 +65,7 @@
     for (size_t i = 0; i < order->count; i++) {
         if (!is_receiver(order, input, i, reads))
             continue;
-        if (peer_offer(push->conf.hub, order->items[i].peer, &message->envelope))
+        if (peer_try_send(push->conf.hub, order->items[i].peer, &message->envelope))
             receivers++;
         else
             skipped++;
--- a/gateway/state/view_push.h
+++ b/gateway/state/view_push.h
@@ -6,7 +6,7 @@
  * sends to whom and how often. An object that changed several times goes once, as it is now, and a
  * change reaches back to earlier ones where that makes it no larger, so that a peer that missed
  * those can still apply it. A peer whose connection does not take what it was sent is left out
- * (peer_offer()); it gets a later change, or asks for what it lacks (view_relay.h).
+ * (peer_try_send()); it gets a later change, or asks for what it lacks (view_relay.h).
  * Ahead of a large change of the list of backend servers goes which of them leave (departures.h),
  * straight to all.
  *
--- a/gateway/state/view_relay.c
+++ b/gateway/state/view_relay.c
@@ -83,8 +83,7 @@
 send_reply(view_relay_t *relay, peer_conn_t *conn, const view_message_t *message)
 {
     const Iris__ViewUpdate *update = &message->update;
-    const bool sent =
-        may_answer(relay, message->bytes) && peer_offer_reply(conn, &message->envelope);
+    const bool sent = may_answer(relay, message->bytes) && peer_try_reply(conn, &message->envelope);
     LOG_INFO("view request %s: kind=%u from=%llu at=%llu whole=%d objects=%zu bytes=%zu",
              sent ? "answered" : "not answered", update->kind, (unsigned long long)update->from,
              (unsigned long long)update->at, update->whole, update->n_items, message->bytes);
@@ -303,7 +302,7 @@
         return;
     }
     const view_result_t result = apply_update(&relay->conf.views->items[update->kind], update);
-    if (peer_is_unasked(conn))
+    if (peer_conn_is_incoming(conn))
         on_change(relay, update, result);
     if (result == VIEW_CHANGED)
         views_changed(relay->conf.views, update->kind, "peer", update_age_ms(update),
--- a/peer/conn.c
+++ b/peer/conn.c
@@ -20,8 +20,8 @@
     SEND_BUFFER = 65536,
     /* Bytes that wait beyond the socket, above which no further state is queued. Chosen, half of
      * the socket's. */
-    WAITING_MAX = 32768,
-    SMALL_MAX = 4096, /* bytes of a message that goes in any case. Chosen */
+    SEND_QUEUE_MAX = 32768,
+    SMALL_MESSAGE_MAX = 4096, /* bytes of a message that goes in any case. Chosen */
 };
 
 typedef struct {
@@ -142,9 +142,9 @@
 }
 
 static void
-reject(peer_conn_t *conn, const char *why)
+reject(peer_conn_t *conn, const char *reason)
 {
-    LOG_WARN("bad frame, closing connection: why=%s", why);
+    LOG_WARN("bad frame, closing connection: why=%s", reason);
     counter_add(conn->hub->bad_frames, 1);
     peer_conn_close(conn);
 }
@@ -230,7 +230,7 @@
     uv_tcp_init(hub->loop, &conn->tcp);
     conn->tcp.data = conn;
     conn->used_ms = loop_now(hub->loop);
-    conn->begun_ms = conn->used_ms;
+    conn->opened_ms = conn->used_ms;
     return conn;
 }
 
@@ -255,23 +255,24 @@
 
 /* Small messages always go, so that they do not depend on large ones before them. */
 static bool
-takes_more(const peer_conn_t *conn, const Iris__Envelope *message)
+can_queue(const peer_conn_t *conn, const Iris__Envelope *message)
 {
     const size_t waiting =
         conn->out_len + uv_stream_get_write_queue_size((const uv_stream_t *)&conn->tcp);
-    return waiting <= WAITING_MAX || iris__envelope__get_packed_size(message) <= SMALL_MAX;
+    return waiting <= SEND_QUEUE_MAX ||
+           iris__envelope__get_packed_size(message) <= SMALL_MESSAGE_MAX;
 }
 
 bool
-peer_offer_reply(peer_conn_t *conn, const Iris__Envelope *message)
+peer_try_reply(peer_conn_t *conn, const Iris__Envelope *message)
 {
-    if (!takes_more(conn, message))
+    if (!can_queue(conn, message))
         return false;
     return queue_message(conn, message);
 }
 
 bool
-peer_is_unasked(const peer_conn_t *conn)
+peer_conn_is_incoming(const peer_conn_t *conn)
 {
     return !conn->outgoing;
 }
--- a/peer/conn.h
+++ b/peer/conn.h
@@ -17,10 +17,10 @@
     bool bulk; /* outgoing, for large messages only */
     bool connected;
     bool closing;
-    uint64_t begun_ms; /* when it was opened */
+    uint64_t opened_ms; /* when it was opened */
     uint64_t used_ms;
-    uint64_t progress_ms; /* when output last moved, or began to wait */
-    size_t left;          /* bytes of the running write when that was last looked at */
+    uint64_t progress_ms;   /* when output last moved, or began to wait */
+    size_t last_queue_size; /* bytes of the running write when that was last looked at */
     char *in;
     size_t in_len;
     size_t in_size;
--- a/peer/link.c
+++ b/peer/link.c
@@ -11,12 +11,12 @@
 #include "peer/conn.h"
 
 enum {
-    BACKLOG = 256,       /* connections waiting to be accepted. Chosen */
-    INCOMING_MAX = 4096, /* connections from peers: above the fleet to design for (1,400) */
+    LISTEN_BACKLOG = 256, /* connections waiting to be accepted. Chosen */
+    INCOMING_MAX = 4096,  /* connections from peers: above the fleet to design for (1,400) */
     /* Bytes of a state message above which it goes over a connection of its own: one of 800 kB
      * holds a heartbeat up for 0.65 s on an idle link of 10 Mbit/s, one of this size for 52 ms.
      * Chosen. */
-    BULK_MIN = 65536,
+    BULK_THRESHOLD = 65536,
     BULK_IDLE_MS = 5000, /* a connection for these is closed when unused for so long. Chosen */
 };
 
@@ -49,7 +49,7 @@
 }
 
 static peer_conn_t *
-outgoing_to(peer_hub_t *hub, const addr_t *to, bool bulk)
+get_outgoing(peer_hub_t *hub, const addr_t *to, bool bulk)
 {
     peer_conn_t *conn = find_outgoing(hub, to, bulk);
     if (conn != NULL)
@@ -105,7 +105,7 @@
     hub->messages = counter_get("irisstall_peer_messages_total", NULL, "Messages sent to peers.");
     uv_tcp_init(loop, &hub->listener);
     hub->listener.data = hub;
-    if (!tcp_listen(&hub->listener, listen, BACKLOG, on_accept, &hub->port, err))
+    if (!tcp_listen(&hub->listener, listen, LISTEN_BACKLOG, on_accept, &hub->port, err))
         return NULL; /* the process exits; the handle lives until then */
     return hub;
 }
@@ -125,21 +125,21 @@
 void
 peer_send(peer_hub_t *hub, const addr_t *to, const Iris__Envelope *message)
 {
-    peer_conn_t *conn = outgoing_to(hub, to, false);
+    peer_conn_t *conn = get_outgoing(hub, to, false);
     if (conn != NULL)
         peer_reply(conn, message);
 }
 
 bool
-peer_offer(peer_hub_t *hub, const addr_t *to, const Iris__Envelope *message)
+peer_try_send(peer_hub_t *hub, const addr_t *to, const Iris__Envelope *message)
 {
-    const bool bulk = iris__envelope__get_packed_size(message) > BULK_MIN;
-    peer_conn_t *conn = outgoing_to(hub, to, bulk);
-    return conn != NULL && peer_offer_reply(conn, message);
+    const bool bulk = iris__envelope__get_packed_size(message) > BULK_THRESHOLD;
+    peer_conn_t *conn = get_outgoing(hub, to, bulk);
+    return conn != NULL && peer_try_reply(conn, message);
 }
 
 void
-peer_hub_sweep(peer_hub_t *hub, uint64_t idle_ms)
+peer_hub_sweep_idle(peer_hub_t *hub, uint64_t idle_ms)
 {
     const uint64_t now = loop_now(hub->loop);
     peer_conn_t *conn = hub->outgoing;
@@ -153,12 +153,12 @@
 
 /* A message of 800 kB takes seconds on a small link: it moves as long as the socket takes some. */
 static void
-note_progress(peer_conn_t *conn, uint64_t now_ms)
+update_progress(peer_conn_t *conn, uint64_t now_ms)
 {
-    const size_t left = uv_stream_get_write_queue_size((const uv_stream_t *)&conn->tcp);
-    if (left < conn->left)
+    const size_t queue_size = uv_stream_get_write_queue_size((const uv_stream_t *)&conn->tcp);
+    if (queue_size < conn->last_queue_size)
         conn->progress_ms = now_ms;
-    conn->left = left;
+    conn->last_queue_size = queue_size;
 }
 
 void
@@ -168,7 +168,7 @@
     peer_conn_t *conn = hub->outgoing;
     while (conn != NULL) {
         peer_conn_t *next = conn->next;
-        if (!conn->connected && now - conn->begun_ms > age_ms)
+        if (!conn->connected && now - conn->opened_ms > age_ms)
             peer_conn_close(conn);
         conn = next;
     }
@@ -181,7 +181,7 @@
     peer_conn_t *conn = hub->outgoing;
     while (conn != NULL) {
         peer_conn_t *next = conn->next;
-        note_progress(conn, now);
+        update_progress(conn, now);
         const bool waiting = conn->out_len > 0 || conn->writing || !conn->connected;
         if (waiting && now - conn->progress_ms > stalled_ms) {
             LOG_INFO("peer connection stalled, closing: waiting=%zu stalled_ms=%llu", conn->waiting,
--- a/peer/link.h
+++ b/peer/link.h
@@ -46,15 +46,15 @@
 /* Sends, unless earlier messages to that peer still wait for its connection: for state that peers
  * ask for if they miss it, so that old state does not queue before new. Large messages may be
  * overtaken by small ones. False if it was not sent. */
-bool peer_offer(peer_hub_t *hub, const addr_t *to, const Iris__Envelope *message);
+bool peer_try_send(peer_hub_t *hub, const addr_t *to, const Iris__Envelope *message);
 /* Answers on the connection that brought the message. */
 void peer_reply(peer_conn_t *conn, const Iris__Envelope *message);
 /* The same, unless earlier messages still wait for the connection. False if it was not sent. */
-bool peer_offer_reply(peer_conn_t *conn, const Iris__Envelope *message);
+bool peer_try_reply(peer_conn_t *conn, const Iris__Envelope *message);
 /* True if the message came on a connection that the peer opened: it is no answer. */
-bool peer_is_unasked(const peer_conn_t *conn);
+bool peer_conn_is_incoming(const peer_conn_t *conn);
 /* Closes outgoing connections unused for `idle_ms`. */
-void peer_hub_sweep(peer_hub_t *hub, uint64_t idle_ms);
+void peer_hub_sweep_idle(peer_hub_t *hub, uint64_t idle_ms);
 /* Closes outgoing connections that have not come up for so long. */
 void peer_hub_sweep_unconnected(peer_hub_t *hub, uint64_t age_ms);
 /* Closes outgoing connections whose output has not moved for `stalled_ms`, and those for large
--- a/test/gateway/test_log_ring.c
+++ b/test/gateway/test_log_ring.c
@@ -5,11 +5,11 @@
 #include "base/log_ring.h"
 #include "test/suites.h"
 
-START_TEST(a_log_that_nobody_reads_costs_nothing)
+START_TEST(logging_to_a_full_pipe_does_not_block)
 {
-    int ends[2];
-    ck_assert_int_eq(pipe(ends), 0);
-    const log_ring_conf_t conf = {.fd = ends[1], .size = 4096, .lines_per_s = 1e6, .burst = 1e6};
+    int fds[2];
+    ck_assert_int_eq(pipe(fds), 0);
+    const log_ring_conf_t conf = {.fd = fds[1], .size = 4096, .lines_per_s = 1e6, .burst = 1e6};
     log_ring_t *ring = log_ring_new(&conf);
     /* Far more than the pipe and the ring hold: this returns because nothing waits. */
     for (int i = 0; i < 20000; i++) {
@@ -21,7 +21,7 @@
     static char text[1 << 20];
     size_t len = 0;
     for (int i = 0; i < 10; i++) {
-        const ssize_t n = read(ends[0], text + len, sizeof(text) - len - 1);
+        const ssize_t n = read(fds[0], text + len, sizeof(text) - len - 1);
         len += n > 0 ? (size_t)n : 0;
         log_ring_add(ring, "exchange", "after", 2000);
         log_ring_flush(ring);
@@ -29,16 +29,16 @@
     ck_assert_ptr_nonnull(strstr(text, "event=\"lines dropped\" of=exchange lines="));
     ck_assert_ptr_nonnull(strstr(text, "\nafter\n"));
     log_ring_free(ring);
-    close(ends[0]);
-    close(ends[1]);
+    close(fds[0]);
+    close(fds[1]);
 }
 END_TEST
 
-START_TEST(a_noisy_module_leaves_the_others_their_lines)
+START_TEST(log_rate_limit_is_per_module)
 {
-    int ends[2];
-    ck_assert_int_eq(pipe(ends), 0);
-    const log_ring_conf_t conf = {.fd = ends[1], .size = 65536, .lines_per_s = 10, .burst = 20};
+    int fds[2];
+    ck_assert_int_eq(pipe(fds), 0);
+    const log_ring_conf_t conf = {.fd = fds[1], .size = 65536, .lines_per_s = 10, .burst = 20};
     log_ring_t *ring = log_ring_new(&conf);
     unsigned kept = 0;
     for (int i = 0; i < 1000; i++)
@@ -47,8 +47,8 @@
     ck_assert(log_ring_add(ring, "sync", "store lost", 1000));
     ck_assert(log_ring_add(ring, "exchange", "later", 2000));
     log_ring_free(ring);
-    close(ends[0]);
-    close(ends[1]);
+    close(fds[0]);
+    close(fds[1]);
 }
 END_TEST
 
@@ -57,8 +57,8 @@
 {
     Suite *suite = suite_create("gateway: log ring");
     TCase *tests = tcase_create("log ring");
-    tcase_add_test(tests, a_log_that_nobody_reads_costs_nothing);
-    tcase_add_test(tests, a_noisy_module_leaves_the_others_their_lines);
+    tcase_add_test(tests, logging_to_a_full_pipe_does_not_block);
+    tcase_add_test(tests, log_rate_limit_is_per_module);
     suite_add_tcase(suite, tests);
     return suite;
 }
--- a/test/gateway/test_silent.c
+++ b/test/gateway/test_silent.c
@@ -343,12 +343,12 @@
     Iris__Envelope heartbeat = IRIS__ENVELOPE__INIT;
     heartbeat.body_case = IRIS__ENVELOPE__BODY_GATEWAY;
     heartbeat.gateway = &beat;
-    ck_assert(peer_offer(hub, &server->addr, &change));
+    ck_assert(peer_try_send(hub, &server->addr, &change));
     RUN_UNTIL(server, server->accepted > 0);
     peer_send(hub, &server->addr, &heartbeat);
     RUN_UNTIL(server, server->bytes[1] > 0);
     /* A second change does not queue behind the first. */
-    ck_assert(!peer_offer(hub, &server->addr, &change));
+    ck_assert(!peer_try_send(hub, &server->addr, &change));
     ck_assert_uint_eq(server->accepted, 2);
     free(item.body.data);
 }
--- a/test/test_base.c
+++ b/test/test_base.c
@@ -12,7 +12,7 @@
 #include "entry/settings.h"
 #include "test/suites.h"
 
-START_TEST(names_refuse_what_is_not_a_name)
+START_TEST(name_set_rejects_invalid_names)
 {
     name_t name;
     ck_assert(name_set(&name, STR("toledo-hall_1.a")));
@@ -24,7 +24,7 @@
 }
 END_TEST
 
-START_TEST(numbers_refuse_overflow_and_rest)
+START_TEST(str_to_u64_rejects_overflow_and_trailing_text)
 {
     uint64_t value;
     ck_assert(str_to_u64(STR("18446744073709551615"), &value));
@@ -35,7 +35,7 @@
 }
 END_TEST
 
-START_TEST(addresses_are_numeric)
+START_TEST(addr_parse_accepts_only_numeric_addresses)
 {
     addr_t addr;
     char text[ADDR_TEXT_MAX];
@@ -49,7 +49,7 @@
 }
 END_TEST
 
-START_TEST(bucket_keeps_its_rate)
+START_TEST(bucket_limits_the_rate)
 {
     bucket_t bucket;
     bucket_init(&bucket, 10, 5, 0);
@@ -73,7 +73,7 @@
 }
 END_TEST
 
-START_TEST(manual_clock_stands_still)
+START_TEST(manual_clock_advances_only_explicitly)
 {
     clock_manual_t state = {.steady_ms = 5, .wall_ms = 1000};
     const iris_clock_t clock = clock_manual(&state);
@@ -84,24 +84,24 @@
 }
 END_TEST
 
-START_TEST(trace_is_continued)
+START_TEST(trace_continues_a_valid_traceparent)
 {
     rng_t rng = {.state = 1};
     char text[TRACEPARENT_SIZE];
-    const str_t given = STR("00-0123456789abcdef0123456789abcdef-00000000000000aa-01");
-    const trace_t trace = trace_continue(given, &rng);
+    const str_t header = STR("00-0123456789abcdef0123456789abcdef-00000000000000aa-01");
+    const trace_t trace = trace_continue(header, &rng);
     ck_assert_uint_eq(trace.parent, 0xaa);
     const trace_t child = trace_child(&trace, &rng);
     ck_assert_uint_eq(child.parent, trace.span);
     trace_format(&child, text);
-    ck_assert(strncmp(text, given.ptr, 36) == 0);
+    ck_assert(strncmp(text, header.ptr, 36) == 0);
     const trace_t fresh = trace_continue(STR("rubbish"), &rng);
     ck_assert_uint_eq(fresh.parent, 0);
     ck_assert(fresh.trace_low != trace.trace_low);
 }
 END_TEST
 
-static const char good_settings[] =
+static const char valid_settings[] =
     "name: a-1\nregion: r\nplace: p\nlisten: 127.0.0.1:0\npeer: 127.0.0.1:0\n"
     "admin: 127.0.0.1:0\nplatform: 127.0.0.1:9\n";
 
@@ -118,11 +118,11 @@
     return ok;
 }
 
-START_TEST(settings_good)
+START_TEST(settings_load_accepts_a_valid_file)
 {
     settings_t settings;
     err_t err = {0};
-    ck_assert_msg(load_text(good_settings, &settings, &err), "%s", err.detail);
+    ck_assert_msg(load_text(valid_settings, &settings, &err), "%s", err.detail);
     ck_assert_str_eq(settings.name.ptr, "a-1");
     ck_assert_int_eq(settings.log_level, LOG_LEVEL_INFO);
     ck_assert_uint_eq(settings.max_body_kb, 1024);
@@ -130,9 +130,9 @@
 END_TEST
 
 static const struct {
-    const char *more;
-    const char *said[4];
-} bad_settings[] = {
+    const char *extra;
+    const char *expected[4];
+} invalid_settings[] = {
     {"policy: best\n", {":8: policy", "'best'", "expected iris"}},
     {"max_body_kb: 0\n", {":8: max_body_kb", "'0'", "from 1 to"}},
     {"max_body_kb: many\n", {":8: max_body_kb", "many"}},
@@ -143,16 +143,16 @@
     {"log: {level: loud}\n", {":8: level", "'loud'", "error, warn, info or debug"}},
 };
 
-START_TEST(settings_errors_say_where_and_what)
+START_TEST(settings_errors_name_line_key_and_value)
 {
     char text[1024];
     settings_t settings;
     err_t err = {0};
-    snprintf(text, sizeof(text), "%s%s", good_settings, bad_settings[_i].more);
+    snprintf(text, sizeof(text), "%s%s", valid_settings, invalid_settings[_i].extra);
     ck_assert(!load_text(text, &settings, &err));
-    for (size_t i = 0; i < 4 && bad_settings[_i].said[i] != NULL; i++)
-        ck_assert_msg(strstr(err.detail, bad_settings[_i].said[i]) != NULL, "'%s' not in: %s",
-                      bad_settings[_i].said[i], err.detail);
+    for (size_t i = 0; i < 4 && invalid_settings[_i].expected[i] != NULL; i++)
+        ck_assert_msg(strstr(err.detail, invalid_settings[_i].expected[i]) != NULL,
+                      "'%s' not in: %s", invalid_settings[_i].expected[i], err.detail);
     ck_assert_ptr_null(strstr(err.detail, "Backtrace"));
 }
 END_TEST
@@ -162,16 +162,16 @@
 {
     Suite *suite = suite_create("base");
     TCase *tcase = tcase_create("base");
-    tcase_add_test(tcase, names_refuse_what_is_not_a_name);
-    tcase_add_test(tcase, numbers_refuse_overflow_and_rest);
-    tcase_add_test(tcase, addresses_are_numeric);
-    tcase_add_test(tcase, bucket_keeps_its_rate);
+    tcase_add_test(tcase, name_set_rejects_invalid_names);
+    tcase_add_test(tcase, str_to_u64_rejects_overflow_and_trailing_text);
+    tcase_add_test(tcase, addr_parse_accepts_only_numeric_addresses);
+    tcase_add_test(tcase, bucket_limits_the_rate);
     tcase_add_test(tcase, histogram_quantiles_are_close);
-    tcase_add_test(tcase, manual_clock_stands_still);
-    tcase_add_test(tcase, trace_is_continued);
-    tcase_add_test(tcase, settings_good);
-    tcase_add_loop_test(tcase, settings_errors_say_where_and_what, 0,
-                        (int)(sizeof(bad_settings) / sizeof(bad_settings[0])));
+    tcase_add_test(tcase, manual_clock_advances_only_explicitly);
+    tcase_add_test(tcase, trace_continues_a_valid_traceparent);
+    tcase_add_test(tcase, settings_load_accepts_a_valid_file);
+    tcase_add_loop_test(tcase, settings_errors_name_line_key_and_value, 0,
+                        (int)(sizeof(invalid_settings) / sizeof(invalid_settings[0])));
     suite_add_tcase(suite, tcase);
     return suite;
 }
--- a/test/test_network.c
+++ b/test/test_network.c
@@ -14,7 +14,7 @@
 #include "peer/link.h"
 #include "test/suites.h"
 
-enum { PATIENCE_MS = 5000, BODY_MAX = 1000, HEAD_TIMEOUT_MS = 300 };
+enum { WAIT_TIMEOUT_MS = 5000, BODY_MAX = 1000, HEAD_TIMEOUT_MS = 300 };
 
 typedef struct {
     uv_loop_t loop;
@@ -22,8 +22,8 @@
     size_t requests;
     size_t messages;
     uint64_t last_version;
-    bool cut;   /* the server sends half an answer and closes */
-    int status; /* of its answers, 0: 200 */
+    bool truncate_response; /* the server sends half an answer and closes */
+    int status;             /* of its answers, 0: 200 */
 } net_t;
 
 static void
@@ -42,7 +42,7 @@
     static h2o_generator_t generator = {NULL, NULL};
     net_t *net = ctx;
     net->requests++;
-    if (!net->cut) {
+    if (!net->truncate_response) {
         http_reply(req, net->status != 0 ? net->status : 200, "text/plain", "hello", 5);
         return;
     }
@@ -63,12 +63,12 @@
     return net;
 }
 
-/* Runs the loop until the condition holds; false after PATIENCE_MS. */
+/* Runs the loop until the condition holds; false after WAIT_TIMEOUT_MS. */
 #define RUN_UNTIL(net, condition)                                                                  \
     do {                                                                                           \
-        const uint64_t until_ = clock_steady_ms(clock_system()) + PATIENCE_MS;                     \
+        const uint64_t deadline_ = clock_steady_ms(clock_system()) + WAIT_TIMEOUT_MS;              \
         bool holds_ = (condition);                                                                 \
-        while (!holds_ && clock_steady_ms(clock_system()) < until_) {                              \
+        while (!holds_ && clock_steady_ms(clock_system()) < deadline_) {                           \
             uv_run(&(net)->loop, UV_RUN_NOWAIT);                                                   \
             holds_ = (condition);                                                                  \
         }                                                                                          \
@@ -133,7 +133,7 @@
     return counter_value(counter_get("irisstall_peer_bad_frames_total", NULL, ""));
 }
 
-START_TEST(frames_arrive)
+START_TEST(large_frames_are_delivered)
 {
     net_t *net = new_net();
     peer_hub_t *hub = start_hub(net);
@@ -157,19 +157,19 @@
 static const struct {
     const char *bytes;
     size_t len;
-} bad[] = {
+} invalid_frames[] = {
     {"\xff\xff\xff\xff", 4},             /* far too long */
     {"\x00\x00\x00\x03\xff\xff\xff", 7}, /* not protobuf */
     {"\x00\x00\x00\x02\x08\x63", 6},     /* schema 99 */
 };
 
-START_TEST(bad_frames_close_and_count)
+START_TEST(invalid_frames_close_the_connection_and_are_counted)
 {
     net_t *net = new_net();
     start_hub(net);
     const int64_t before = bad_frames();
     const int fd = connect_raw(net);
-    send_raw(fd, bad[_i].bytes, bad[_i].len);
+    send_raw(fd, invalid_frames[_i].bytes, invalid_frames[_i].len);
     RUN_UNTIL(net, bad_frames() == before + 1);
     RUN_UNTIL(net, is_closed(fd));
     ck_assert_uint_eq(net->messages, 0);
@@ -177,7 +177,7 @@
 }
 END_TEST
 
-START_TEST(a_truncated_frame_is_dropped)
+START_TEST(truncated_frame_is_dropped)
 {
     net_t *net = new_net();
     start_hub(net);
@@ -192,7 +192,7 @@
 END_TEST
 
 static void
-expect_answer(net_t *net, int fd, const char *start)
+expect_response(net_t *net, int fd, const char *start)
 {
     char buf[4096];
     ssize_t n = -1;
@@ -201,13 +201,13 @@
     ck_assert_msg(strncmp(buf, start, strlen(start)) == 0, "got: %.60s", buf);
 }
 
-START_TEST(garbage_and_large_heads_are_refused)
+START_TEST(malformed_and_oversized_headers_are_rejected)
 {
     net_t *net = new_net();
     start_server(net);
     int fd = connect_raw(net);
     send_raw(fd, "\x01\x02 garbage\r\n\r\n", 14);
-    expect_answer(net, fd, "HTTP/1.1 400");
+    expect_response(net, fd, "HTTP/1.1 400");
     close(fd);
     fd = connect_raw(net);
     send_raw(fd, "GET / HTTP/1.1\r\n", 16);
@@ -226,7 +226,7 @@
 }
 END_TEST
 
-START_TEST(a_trickled_head_runs_out_of_time)
+START_TEST(incomplete_request_header_times_out)
 {
     net_t *net = new_net();
     start_server(net);
@@ -238,32 +238,32 @@
 }
 END_TEST
 
-START_TEST(a_large_body_gets_413)
+START_TEST(oversized_request_body_gets_413)
 {
     net_t *net = new_net();
     start_server(net);
     const int fd = connect_raw(net);
     static const char head[] = "POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 100000\r\n\r\n";
     send_raw(fd, head, sizeof(head) - 1);
-    expect_answer(net, fd, "HTTP/1.1 413");
+    expect_response(net, fd, "HTTP/1.1 413");
     ck_assert_uint_eq(net->requests, 0);
     close(fd);
 }
 END_TEST
 
-START_TEST(answers_have_standard_reasons)
+START_TEST(responses_have_standard_reason_phrases)
 {
     net_t *net = new_net();
     start_server(net);
     net->status = 404;
     const int fd = connect_raw(net);
     send_raw(fd, "GET / HTTP/1.1\r\nhost: a\r\n\r\n", 27);
-    expect_answer(net, fd, "HTTP/1.1 404 Not Found");
+    expect_response(net, fd, "HTTP/1.1 404 Not Found");
     close(fd);
 }
 END_TEST
 
-START_TEST(too_many_connections_are_closed)
+START_TEST(connections_above_the_limit_are_closed)
 {
     net_t *net = new_net();
     start_server(net);
@@ -272,7 +272,7 @@
         fds[i] = connect_raw(net);
     RUN_UNTIL(net, is_closed(fds[3]));
     send_raw(fds[0], "GET / HTTP/1.1\r\nhost: a\r\n\r\n", 27);
-    expect_answer(net, fds[0], "HTTP/1.1 200");
+    expect_response(net, fds[0], "HTTP/1.1 200");
     for (size_t i = 0; i < 4; i++)
         close(fds[i]);
 }
@@ -282,60 +282,60 @@
     bool done;
     http_result_t result;
     size_t body_len;
-} got_t;
+} fetch_outcome_t;
 
 static void
 on_fetched(void *ctx, const fetch_answer_t *answer)
 {
-    got_t *got = ctx;
-    *got = (got_t){.done = true, .result = *answer->result, .body_len = answer->body.len};
+    fetch_outcome_t *got = ctx;
+    *got = (fetch_outcome_t){.done = true, .result = *answer->result, .body_len = answer->body.len};
 }
 
-static got_t
+static fetch_outcome_t
 fetch(net_t *net)
 {
-    got_t got = {.done = false};
+    fetch_outcome_t got = {.done = false};
     http_client_t *client = http_client_new(&net->loop);
     const fetch_conf_t conf = {.target = http_target_new(client, &net->addr, 2, 1000),
                                .method = "GET",
                                .path = "/",
                                .body = STR(""),
-                               .timeout_ms = PATIENCE_MS,
+                               .timeout_ms = WAIT_TIMEOUT_MS,
                                .max_body = BODY_MAX};
     fetch_start(&conf, on_fetched, &got);
     RUN_UNTIL(net, got.done);
     return got;
 }
 
-START_TEST(a_whole_answer_is_told_from_a_cut_one)
+START_TEST(truncated_response_is_reported_as_lost)
 {
     net_t *net = new_net();
     start_server(net);
-    got_t got = fetch(net);
+    fetch_outcome_t got = fetch(net);
     ck_assert_int_eq(got.result.err.code, ERR_NONE);
     ck_assert_uint_eq(got.body_len, 5);
-    net->cut = true;
+    net->truncate_response = true;
     got = fetch(net);
     ck_assert_int_eq(got.result.err.code, ERR_ANSWER_LOST);
     ck_assert_int_ge(got.result.stage, HTTP_STAGE_SENT);
 }
 END_TEST
 
-START_TEST(a_refused_connection_was_not_sent)
+START_TEST(refused_connection_reports_nothing_sent)
 {
     net_t *net = new_net();
     const int fd = socket(AF_INET, SOCK_STREAM, 0); /* bound, not listening */
     socklen_t len = sizeof(net->addr.v4);
     ck_assert_int_eq(bind(fd, &net->addr.sa, len), 0);
     ck_assert_int_eq(getsockname(fd, &net->addr.sa, &len), 0);
-    const got_t got = fetch(net);
+    const fetch_outcome_t got = fetch(net);
     ck_assert_int_eq(got.result.err.code, ERR_UNAVAILABLE);
     ck_assert_int_eq(got.result.stage, HTTP_STAGE_CONNECTING);
     close(fd);
 }
 END_TEST
 
-START_TEST(a_target_is_freed_with_its_pool)
+START_TEST(http_target_is_freed_with_its_pool)
 {
     net_t *net = new_net();
     start_server(net);
@@ -355,17 +355,18 @@
     Suite *suite = suite_create("network");
     TCase *tcase = tcase_create("network");
     tcase_set_timeout(tcase, 60);
-    tcase_add_test(tcase, frames_arrive);
-    tcase_add_loop_test(tcase, bad_frames_close_and_count, 0, (int)ALEN(bad));
-    tcase_add_test(tcase, a_truncated_frame_is_dropped);
-    tcase_add_test(tcase, garbage_and_large_heads_are_refused);
-    tcase_add_test(tcase, a_trickled_head_runs_out_of_time);
-    tcase_add_test(tcase, a_large_body_gets_413);
-    tcase_add_test(tcase, answers_have_standard_reasons);
-    tcase_add_test(tcase, too_many_connections_are_closed);
-    tcase_add_test(tcase, a_whole_answer_is_told_from_a_cut_one);
-    tcase_add_test(tcase, a_refused_connection_was_not_sent);
-    tcase_add_test(tcase, a_target_is_freed_with_its_pool);
+    tcase_add_test(tcase, large_frames_are_delivered);
+    tcase_add_loop_test(tcase, invalid_frames_close_the_connection_and_are_counted, 0,
+                        (int)ALEN(invalid_frames));
+    tcase_add_test(tcase, truncated_frame_is_dropped);
+    tcase_add_test(tcase, malformed_and_oversized_headers_are_rejected);
+    tcase_add_test(tcase, incomplete_request_header_times_out);
+    tcase_add_test(tcase, oversized_request_body_gets_413);
+    tcase_add_test(tcase, responses_have_standard_reason_phrases);
+    tcase_add_test(tcase, connections_above_the_limit_are_closed);
+    tcase_add_test(tcase, truncated_response_is_reported_as_lost);
+    tcase_add_test(tcase, refused_connection_reports_nothing_sent);
+    tcase_add_test(tcase, http_target_is_freed_with_its_pool);
     suite_add_tcase(suite, tcase);
     return suite;
 }
