--- a/base/addr.h
+++ b/base/addr.h
@@ -1,7 +1,5 @@
 /*
- * Numeric socket addresses, "IP:PORT" or "[IPv6]:PORT". Names are never resolved.
- *
- * Plain values; relies on nothing.
+ * Numeric socket addresses, "IP:PORT" or "[IPv6]:PORT". Host names are never resolved.
  */
 #pragma once
 
@@ -27,5 +25,5 @@
 uint16_t addr_port(const addr_t *addr);
 void addr_set_port(addr_t *addr, uint16_t port);
 bool addr_eq(const addr_t *a, const addr_t *b);
-/* Below, at or above 0: any order in which equal ones stand together. */
+/* Returns <0, 0 or >0. The order is total but otherwise unspecified. */
 int addr_compare(const addr_t *a, const addr_t *b);
--- a/base/bucket.h
+++ b/base/bucket.h
@@ -1,7 +1,5 @@
 /*
- * Token bucket: a rate with a bounded burst.
- *
- * A plain value; relies on nothing, time is passed in.
+ * Token bucket with a rate and a maximum burst. The caller passes the time.
  */
 #pragma once
 
@@ -9,18 +7,18 @@
 #include <stdint.h>
 
 typedef struct {
-    double rate;  /* tokens a second */
-    double burst; /* most tokens kept */
+    double rate;  /* tokens per second */
+    double burst; /* maximum number of tokens */
     double tokens;
     uint64_t refilled_ms;
 } bucket_t;
 
-/* Starts full. */
+/* The bucket starts full. */
 void bucket_init(bucket_t *bucket, double rate, double burst, uint64_t now_ms);
-/* Changes the rate without granting tokens. */
+/* Changes rate and burst without adding tokens. */
 void bucket_set_rate(bucket_t *bucket, double rate, double burst, uint64_t now_ms);
 bool bucket_take(bucket_t *bucket, double tokens, uint64_t now_ms);
-/* Takes even what is not there, so the balance may go below zero. */
+/* Takes tokens unconditionally; the balance may become negative. */
 void bucket_charge(bucket_t *bucket, double tokens, uint64_t now_ms);
-/* The balance now. */
+/* Returns the current balance. */
 double bucket_tokens(bucket_t *bucket, uint64_t now_ms);
--- a/base/clock.h
+++ b/base/clock.h
@@ -1,10 +1,10 @@
 /*
  * Time sources.
  *
- * The entry's decisions take their time from an iris_clock_t, so that tests pause and advance it;
- * the gateway's get the loop's time as an argument. The steady time counts suspension
- * (CLOCK_BOOTTIME) and is read afresh at each call: a loop's cached time would make a process that
- * was stopped believe its authority is still current.
+ * irisstall-entry reads the time through an iris_clock_t, which tests can replace; in
+ * irisstall-gateway the loop time is passed as an argument. The steady time includes suspension
+ * (CLOCK_BOOTTIME) and is read on every call: with the loop's cached time, a process that was
+ * stopped would not notice that its credits have expired.
  */
 #pragma once
 
@@ -12,15 +12,15 @@
 
 typedef struct iris_clock iris_clock_t;
 struct iris_clock {
-    uint64_t (*steady_ms)(void *ctx); /* ms since an arbitrary point, never goes back */
-    uint64_t (*wall_ms)(void *ctx);   /* ms since 1970-01-01 UTC, shared between instances */
+    uint64_t (*steady_ms)(void *ctx); /* monotonic, ms since an arbitrary point */
+    uint64_t (*wall_ms)(void *ctx);   /* ms since the Unix epoch, comparable between instances */
     void *ctx;
 };
 
-/* The machine's clocks. */
+/* CLOCK_BOOTTIME and CLOCK_REALTIME. */
 const iris_clock_t *clock_system(void);
 
-/* A clock that stands still until it is advanced. */
+/* A clock for tests that changes only by clock_manual_advance(). */
 typedef struct {
     uint64_t steady_ms;
     uint64_t wall_ms;
@@ -31,5 +31,5 @@
 
 uint64_t clock_steady_ms(const iris_clock_t *clock);
 uint64_t clock_wall_ms(const iris_clock_t *clock);
-/* Wall time in microseconds, for histories and spans only. */
+/* Microseconds since the Unix epoch, for histories and spans only. */
 uint64_t clock_wall_us(void);
--- a/base/error.h
+++ b/base/error.h
@@ -1,7 +1,8 @@
 /*
- * Typed failures, filled in by the callee and passed down by the caller.
+ * Error codes with a detail message.
  *
- * A function that can fail takes `err_t *err` last and returns false (or NULL) after err_set().
+ * A function that can fail takes `err_t *err` as its last parameter, and calls err_set() before it
+ * returns false (or NULL).
  */
 #pragma once
 
@@ -9,17 +10,17 @@
 
 typedef enum {
     ERR_NONE,
-    ERR_PARSE,        /* text or bytes that do not follow their grammar */
-    ERR_INVALID,      /* well-formed, but breaks a rule */
+    ERR_PARSE,        /* malformed input */
+    ERR_INVALID,      /* well-formed, but not valid */
     ERR_NOT_FOUND,    /* no such object, row, service or block */
-    ERR_CONFLICT,     /* somebody else's write came first */
-    ERR_RATE_LIMITED, /* the store's call budget is used up */
-    ERR_UNAVAILABLE,  /* the other side refused or cannot be reached; nothing was sent */
-    ERR_ANSWER_LOST,  /* something was sent and no whole answer came back */
+    ERR_CONFLICT,     /* another writer changed the object first */
+    ERR_RATE_LIMITED, /* the call budget of the store is exhausted */
+    ERR_UNAVAILABLE,  /* connection refused or peer unreachable; nothing was sent */
+    ERR_ANSWER_LOST,  /* data was sent, but no complete response received */
     ERR_TIMEOUT,      /* the deadline passed */
-    ERR_TOO_LARGE,    /* a stated size limit was exceeded */
-    ERR_PROTOCOL,     /* an answer that breaks the protocol */
-    ERR_SYSTEM,       /* a call to the operating system failed */
+    ERR_TOO_LARGE,    /* a size limit was exceeded */
+    ERR_PROTOCOL,     /* the response violates the protocol */
+    ERR_SYSTEM,       /* a system call failed */
     ERR_CODE_COUNT,
 } err_code_t;
 
--- a/base/history.c
+++ b/base/history.c
@@ -18,7 +18,7 @@
         err_set(err, ERR_SYSTEM, "cannot open %s: %s", path, strerror(errno));
         return false;
     }
-    /* A line at a time, so that a killed process leaves whole lines. */
+    /* Line-buffered, so that a killed process leaves complete lines. */
     setvbuf(history->file, NULL, _IOLBF, LINE_BUFFER);
     return true;
 }
--- a/base/log.c
+++ b/base/log.c
@@ -17,7 +17,7 @@
 
 enum { RING_SIZE = 32768, LINE_MAX_LEN = 1200 };
 
-/* Lines a second and burst of each module on standard output. */
+/* Rate limit of each module on standard output. */
 #define LINES_PER_S 60
 #define LINES_BURST 300
 
@@ -45,7 +45,7 @@
     snprintf(when, size, "%s.%03uZ", text, ms);
 }
 
-/* "what happened: a=1 b=2" becomes event="what happened" a=1 b=2. */
+/* Formats "text: a=1 b=2" as event="text" a=1 b=2. */
 static void
 append_to_ring(const log4c_logging_event_t *event, const char *when, const char *priority)
 {
--- a/base/log.h
+++ b/base/log.h
@@ -1,10 +1,10 @@
 /*
- * Structured logging through log4c: one line a record, key=value.
+ * Structured logging through log4c: one line of key=value pairs per record.
  *
- * Each .c file defines LOG_MODULE before including this header. Messages say what failed and
- * with which value, e.g. LOG_ERR("bind failed: addr=%s err=%s", ...).
- * Owns the process's one log: a file (the entry) or standard output through log_ring.h (the
- * gateway, which must never block). Relies on log4c.
+ * Each .c file defines LOG_MODULE before including this header. A message is an event followed by
+ * its values, e.g. LOG_ERR("bind failed: addr=%s err=%s", ...). The process has a single log:
+ * irisstall-entry logs to a file, irisstall-gateway to standard output through log_ring.h, which
+ * never blocks.
  */
 #pragma once
 
@@ -15,16 +15,16 @@
 
 typedef enum { LOG_LEVEL_ERR, LOG_LEVEL_WARN, LOG_LEVEL_INFO, LOG_LEVEL_DBG } log_level_t;
 
-/* `path` NULL or empty logs to standard error. */
+/* Logs to a file, or to standard error if `path` is NULL or empty. */
 bool log_open(const char *path, log_level_t level, err_t *err);
-/* Logs structured lines to standard output through a bounded ring that never blocks: key=value
- * pairs, the text before the first ": " as the event. docs/OPERATIONS.md lists the events. */
+/* Logs to standard output through a bounded ring that never blocks. The text before the first ": "
+ * becomes the event; docs/OPERATIONS.md lists the events. */
 bool log_open_stdout(log_level_t level, err_t *err);
-/* Writes waiting lines; the caller's loop does so regularly. */
+/* Writes buffered lines; call it regularly. */
 void log_flush(void);
-/* Lines dropped because they were too many or nobody read them. */
+/* Returns the number of lines dropped by the rate limit or because the ring was full. */
 uint64_t log_dropped(void);
-/* Opens the file anew, for log rotation. */
+/* Reopens the file after log rotation. */
 void log_reopen(void);
 void log_close(void);
 bool log_level_parse(const char *text, log_level_t *out);
--- a/base/log_ring.c
+++ b/base/log_ring.c
@@ -14,7 +14,7 @@
 typedef struct {
     char name[NAME_LEN];
     bucket_t bucket;
-    uint64_t dropped; /* since the last line that counted them */
+    uint64_t dropped; /* since the last line that reported them */
 } module_t;
 
 struct log_ring {
--- a/base/loop_time.c
+++ b/base/loop_time.c
@@ -6,17 +6,17 @@
 
 enum {
     NS_PER_MS = 1000000,
-    /* The two clocks are not read at the same moment: less is not taken for a suspension. A reading
-     * that took longer is repeated in the next turn. */
+    /* The clocks are not read atomically: a smaller change of the offset is no suspension. A
+     * reading that took longer than this is retried in the next iteration. */
     CLOCK_TOLERANCE_MS = 5,
 };
 
 static struct {
-    uint64_t last_now_ms;         /* cached loop time of the last update_offset */
-    bool offset_known;            /* `offset_ms` is */
-    uint64_t offset_ms;           /* of CLOCK_BOOTTIME, when last looked */
-    uint64_t timers_suspended_ms; /* of suspensions, that timers know of */
-    uint64_t total_suspended_ms;  /* of suspensions */
+    uint64_t last_now_ms;         /* uv_now() at the last update_offset() */
+    bool offset_known;            /* `offset_ms` is valid */
+    uint64_t offset_ms;           /* CLOCK_BOOTTIME minus CLOCK_MONOTONIC */
+    uint64_t timers_suspended_ms; /* part of total_suspended_ms applied to the timers */
+    uint64_t total_suspended_ms;  /* sum of all suspensions */
 } state;
 
 static uint64_t
@@ -51,7 +51,7 @@
     return now + state.total_suspended_ms;
 }
 
-/* A timer keeps its callback and its repeat; it becomes due earlier. */
+/* Makes a timer due earlier; its callback and repeat interval stay. */
 static void
 advance_timer(uv_handle_t *handle, void *ctx)
 {
--- a/base/search.h
+++ b/base/search.h
@@ -1,15 +1,13 @@
 /*
- * Binary search in sorted arrays of any items.
- *
- * Pure.
+ * Binary search in sorted arrays of any element type.
  */
 #pragma once
 
 #include <stdbool.h>
 #include <stddef.h>
 
-/* True if the item at this index comes before what is looked for. */
+/* Returns true if the element at `index` sorts before the searched key. */
 typedef bool (*search_below_t)(const void *ctx, size_t index);
 
-/* Index of the first item that is not below, `count` if all are. */
+/* Returns the index of the first element that is not below the key, or `count` if there is none. */
 size_t search_lower_bound(size_t count, search_below_t is_below, const void *ctx);
--- a/base/str.h
+++ b/base/str.h
@@ -1,8 +1,8 @@
 /*
  * Length-counted strings.
  *
- * str_t borrows bytes that somebody else owns. name_t owns a short name (service, place,
- * instance) in place, so aggregates hold names without separate allocations.
+ * str_t is a view of bytes that the caller owns. name_t stores a short name (service, data hall,
+ * instance) inline, without a separate allocation.
  */
 #pragma once
 
@@ -16,7 +16,7 @@
 } str_t;
 
 #define STR(literal) ((str_t){.ptr = (literal), .len = sizeof(literal) - 1})
-/* Arguments for a "%.*s" conversion. */
+/* Arguments of a "%.*s" conversion. */
 #define STR_ARG(s) (int)(s).len, (s).ptr
 
 enum { NAME_MAX_LEN = 47 };
@@ -28,19 +28,20 @@
 
 str_t str_from(const char *cstr); /* NULL gives an empty string */
 bool str_eq(str_t a, str_t b);
-/* The same in a time that depends on the lengths alone, not on where they differ: for keys. */
+/* Compares in constant time for equal lengths; for secrets. */
 bool str_eq_constant_time(str_t a, str_t b);
-/* Below, at or above 0 as `a` comes before, equals or comes after `b`, byte by byte. */
+/* Compares bytewise; returns <0, 0 or >0 like memcmp(). */
 int str_compare(str_t a, str_t b);
 bool str_starts_with(str_t s, str_t prefix);
-/* Without the blanks at both ends. */
+/* Removes leading and trailing whitespace. */
 str_t str_trim(str_t s);
-/* Decimal unsigned number covering the whole string; false on anything else or overflow. */
+/* Parses a decimal number that spans the whole string; false on other input or overflow. */
 bool str_to_u64(str_t s, uint64_t *out);
-/* 64-bit hash (xxHash); `seed` separates independent uses. */
+/* 64-bit xxHash. */
 uint64_t str_hash(str_t s, uint64_t seed);
 
-/* False if `s` is empty, too long or holds anything but letters, digits, '-', '_' and '.'. */
+/* Returns false if `s` is empty, too long or has characters other than letters, digits, '-', '_'
+ * and '.'. */
 bool name_set(name_t *name, str_t s);
 str_t name_str(const name_t *name);
 bool name_eq(const name_t *name, str_t s);
--- a/base/tcp.c
+++ b/base/tcp.c
@@ -34,7 +34,7 @@
 {
     uv_os_fd_t fd;
     if (uv_fileno((uv_handle_t *)tcp, &fd) != 0)
-        return; /* closed meanwhile: its callback tells */
+        return; /* already closed; the callback reports it */
     if (setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ms, sizeof(ms)) != 0)
         LOG_WARN("user timeout not set: err=%s", strerror(errno));
 }
@@ -53,7 +53,7 @@
     static const struct linger zero_linger = {.l_onoff = 1, .l_linger = 0};
     uv_os_fd_t fd;
     if (uv_fileno((uv_handle_t *)tcp, &fd) != 0)
-        return; /* closed already */
+        return; /* already closed */
     if (setsockopt(fd, SOL_SOCKET, SO_LINGER, &zero_linger, sizeof(zero_linger)) != 0)
         LOG_WARN("reset on close not set: err=%s", strerror(errno));
 }
--- a/base/tcp.h
+++ b/base/tcp.h
@@ -1,7 +1,5 @@
 /*
- * TCP sockets on libuv: what every listener and every client does alike.
- *
- * Owns nothing. Relies on libuv.
+ * Helpers for libuv TCP sockets.
  */
 #pragma once
 
@@ -10,14 +8,13 @@
 #include "base/addr.h"
 #include "base/error.h"
 
-/* Binds an initialised handle and listens; `*port` is the port in use, also where `addr` says 0. On
- * failure the handle is closed and must stay in memory until the loop has run. */
+/* Binds an initialised handle and listens; `*port` receives the bound port. On failure the handle
+ * is closed and must stay allocated until the loop has run. */
 bool tcp_listen(uv_tcp_t *tcp, const addr_t *addr, int backlog, uv_connection_cb cb, uint16_t *port,
                 err_t *err);
-/* Breaks the connection when sent bytes are not acknowledged for `ms` milliseconds. */
+/* Closes the connection if sent data is not acknowledged within `ms` (TCP_USER_TIMEOUT). */
 void tcp_set_user_timeout(uv_tcp_t *tcp, int ms);
-/* Closing the socket resets the connection. (uv_tcp_close_reset() refuses where a shutdown waits
- * for unwritten bytes.) */
+/* Makes uv_close() reset the connection. uv_tcp_close_reset() fails while a shutdown is pending. */
 void tcp_reset_on_close(uv_tcp_t *tcp);
-/* Bounds the bytes that the socket holds for the other side; the system may double the figure. */
+/* Sets the socket's send buffer size (SO_SNDBUF); the kernel may double it. */
 void tcp_set_send_buffer(uv_tcp_t *tcp, int bytes);
--- a/base/yaml.c
+++ b/base/yaml.c
@@ -37,7 +37,7 @@
 typedef struct {
     char text[200];
     size_t len;
-    size_t shown_len; /* before the library's backtrace, 0: all */
+    size_t shown_len; /* length before libcyaml's backtrace, 0: all */
 } messages_t;
 
 static void
@@ -48,7 +48,7 @@
         return;
     char line[160];
     vsnprintf(line, sizeof(line), fmt, args);
-    /* The library's backtrace names the key, but says nothing else to an operator. */
+    /* libcyaml's backtrace is not shown; it is collected because it names the key. */
     if (strstr(line, "Backtrace") != NULL && messages->shown_len == 0)
         messages->shown_len = messages->len;
     line[strcspn(line, "\n")] = '\0';
@@ -57,7 +57,7 @@
     messages->len += n > 0 ? (size_t)n : 0;
 }
 
-/* The library's message, led by file, line and key where it names a key. */
+/* Reports libcyaml's message, with line and key if it names a key. */
 static void
 report_parse_error(const char *path, cyaml_err_t rc, const messages_t *messages, err_t *err)
 {
--- a/base/yaml.h
+++ b/base/yaml.h
@@ -1,7 +1,6 @@
 /*
- * YAML files read by libcyaml against a schema, with errors that name file, line, key and value.
- *
- * Owns nothing. Relies on libcyaml, and on libyaml for the line of a key.
+ * Loads YAML files with libcyaml; errors name the file, line, key and value. libyaml finds the line
+ * of a key.
  */
 #pragma once
 
@@ -12,9 +11,8 @@
 
 #include "base/error.h"
 
-/* The schema's top must be a mapping behind a pointer, which is returned; free it with
- * yaml_unload(). */
+/* The top level of the schema must be a pointer to a mapping. Free `*out` with yaml_unload(). */
 bool yaml_load(const char *path, const cyaml_schema_value_t *schema, void **out, err_t *err);
 void yaml_unload(const cyaml_schema_value_t *schema, void *data);
-/* Line (from 1) of the last place of a key in the file, 0 if it is not there. */
+/* Returns the line (from 1) of the last occurrence of a key, 0 if there is none. */
 size_t yaml_line_of(const char *path, const char *key);
--- a/peer/conn.c
+++ b/peer/conn.c
@@ -12,16 +12,15 @@
 enum {
     HEADER_SIZE = 4,
     READ_CHUNK = 65536,
-    /* Unacknowledged bytes break a connection after this time, so that a peer without power does
-     * not hold messages up. Chosen below the 1.8 s after which it counts as lost. */
+    /* TCP_USER_TIMEOUT: closes the connection to a peer that no longer acknowledges data. Below the
+     * 1.8 s after which the peer counts as lost. */
     USER_TIMEOUT_MS = 1500,
-    /* Bytes that a socket takes beyond what has been read: more than a message in flight over 35 ms
-     * at 10 Mbit/s, little enough that what waits is known here. Chosen. */
+    /* Socket send buffer in bytes: above the bandwidth-delay product of 10 Mbit/s and 35 ms, small
+     * enough that most unsent data stays in the queue of the connection. */
     SEND_BUFFER = 65536,
-    /* Bytes that wait beyond the socket, above which no further state is queued. Chosen, half of
-     * the socket's. */
+    /* Bytes queued beyond the socket buffer above which can_queue() accepts small messages only. */
     SEND_QUEUE_MAX = 32768,
-    SMALL_MESSAGE_MAX = 4096, /* bytes of a message that goes in any case. Chosen */
+    SMALL_MESSAGE_MAX = 4096, /* bytes; can_queue() always accepts messages up to this size */
 };
 
 typedef struct {
@@ -114,7 +113,7 @@
     }
 }
 
-/* False if the message was dropped. */
+/* Returns false if the message was dropped. */
 static bool
 queue_message(peer_conn_t *conn, const Iris__Envelope *message)
 {
@@ -166,7 +165,7 @@
     return known && !conn->closing;
 }
 
-/* Takes whole frames out of the input; keeps a partial one for the next read. */
+/* Delivers the complete frames of the input buffer; keeps a partial one for the next read. */
 static void
 parse_input(peer_conn_t *conn)
 {
@@ -253,7 +252,7 @@
     queue_message(conn, message);
 }
 
-/* Small messages always go, so that they do not depend on large ones before them. */
+/* Always accepts small messages, so that large ones do not block them. */
 static bool
 can_queue(const peer_conn_t *conn, const Iris__Envelope *message)
 {
--- a/peer/conn.h
+++ b/peer/conn.h
@@ -1,8 +1,8 @@
 /*
- * A connection between two instances: its frames, its output and its end. Inside of link.h.
+ * A connection between two instances: framing, send queue and close. Private to peer/.
  *
- * link.c opens, accepts and sweeps connections. Owns socket and buffers. Relies on libuv, on the
- * generated code for the messages.
+ * Owns the socket and its buffers; link.c opens, accepts and closes connections. Depends on libuv
+ * and the generated protobuf code.
  */
 #pragma once
 
@@ -12,22 +12,22 @@
 struct peer_conn {
     uv_tcp_t tcp;
     peer_hub_t *hub;
-    addr_t to; /* of outgoing connections */
+    addr_t to; /* remote address; outgoing connections only */
     bool outgoing;
-    bool bulk; /* outgoing, for large messages only */
+    bool bulk; /* outgoing connection for large messages only */
     bool connected;
     bool closing;
-    uint64_t opened_ms; /* when it was opened */
-    uint64_t used_ms;
-    uint64_t progress_ms;   /* when output last moved, or began to wait */
-    size_t last_queue_size; /* bytes of the running write when that was last looked at */
+    uint64_t opened_ms;
+    uint64_t used_ms;       /* last use: opened, or a message was queued */
+    uint64_t progress_ms;   /* when output last progressed or was first queued */
+    size_t last_queue_size; /* unsent bytes of the current write at the last check */
     char *in;
     size_t in_len;
     size_t in_size;
-    char *out; /* frames waiting for the connection or for the running write */
+    char *out; /* frames queued behind the connect or the current write */
     size_t out_len;
     bool writing;
-    size_t waiting; /* bytes that the socket has not taken: `out` and the running write */
+    size_t waiting; /* queued bytes: `out` and the current write */
     peer_conn_t *next;
 };
 
@@ -36,7 +36,7 @@
     uv_tcp_t listener;
     uint16_t port;
     peer_cb_t cb;
-    peer_refused_cb_t refused_cb; /* NULL: nobody is told */
+    peer_refused_cb_t refused_cb; /* NULL: none */
     void *ctx;
     peer_conn_t *outgoing;
     size_t incoming_count;
@@ -45,11 +45,11 @@
     counter_t *bytes_out;
     counter_t *bytes_in;
     counter_t *messages;
-    counter_t *waiting; /* gauge: sum over the connections */
+    counter_t *waiting; /* gauge: sum of peer_conn.waiting */
 };
 
-/* An unconnected connection of that hub. */
+/* Allocates a connection that is not yet connected. */
 peer_conn_t *peer_conn_new(peer_hub_t *hub);
-/* The connection has come up: messages that wait are sent, and arriving ones delivered. */
+/* Called once connected: sends the queued messages and starts reading. */
 void peer_conn_start(peer_conn_t *conn);
 void peer_conn_close(peer_conn_t *conn);
--- a/peer/link.c
+++ b/peer/link.c
@@ -11,13 +11,12 @@
 #include "peer/conn.h"
 
 enum {
-    LISTEN_BACKLOG = 256, /* connections waiting to be accepted. Chosen */
-    INCOMING_MAX = 4096,  /* connections from peers: above the fleet to design for (1,400) */
-    /* Bytes of a state message above which it goes over a connection of its own: one of 800 kB
-     * holds a heartbeat up for 0.65 s on an idle link of 10 Mbit/s, one of this size for 52 ms.
-     * Chosen. */
+    LISTEN_BACKLOG = 256, /* connections waiting to be accepted */
+    INCOMING_MAX = 4096,  /* above the largest supported deployment (1,400 instances) */
+    /* State messages above this size in bytes use the bulk connection, so that heartbeats are not
+     * delayed behind them: a message of this size takes 52 ms at 10 Mbit/s. */
     BULK_THRESHOLD = 65536,
-    BULK_IDLE_MS = 5000, /* a connection for these is closed when unused for so long. Chosen */
+    BULK_IDLE_MS = 5000, /* closes a bulk connection that is idle for longer */
 };
 
 static void
@@ -106,7 +105,7 @@
     uv_tcp_init(loop, &hub->listener);
     hub->listener.data = hub;
     if (!tcp_listen(&hub->listener, listen, LISTEN_BACKLOG, on_accept, &hub->port, err))
-        return NULL; /* the process exits; the handle lives until then */
+        return NULL; /* not freed: the loop still closes the handle, and the process exits */
     return hub;
 }
 
@@ -151,7 +150,7 @@
     }
 }
 
-/* A message of 800 kB takes seconds on a small link: it moves as long as the socket takes some. */
+/* A partial write counts as progress: a large message takes seconds on a slow link. */
 static void
 update_progress(peer_conn_t *conn, uint64_t now_ms)
 {
--- a/peer/link.h
+++ b/peer/link.h
@@ -1,13 +1,14 @@
 /*
  * Connections between instances of one program: length-prefixed protobuf frames over TCP.
  *
- * One outgoing connection a peer, opened on first use and again after a failure, and one more for
- * large state messages, so that heartbeats do not wait behind them; answers come back on the
- * connection that brought the question. Delivery is not guaranteed: every message is idempotent and
- * repeated by its sender's next round. A frame that is too long, truncated, malformed or of a newer
- * schema closes its connection and is counted.
+ * Each peer has one outgoing connection, opened on first use and reopened after a failure, and a
+ * second one for large state messages, so that heartbeats are not queued behind them. Replies use
+ * the connection of the request. Delivery is not guaranteed: messages are idempotent and the sender
+ * repeats them periodically. A frame that is too long, truncated, malformed or of a newer schema
+ * closes its connection and is counted.
  *
- * Owns the connections. Relies on libuv and on peer.proto for the messages; both programs use it.
+ * Owns the connections. Depends on libuv and peer.proto; used by irisstall-gateway and
+ * irisstall-entry.
  */
 #pragma once
 
@@ -25,38 +26,37 @@
 
 enum {
     PEER_SCHEMA = 1,
-    PEER_FRAME_MAX = 2 << 20,   /* bytes; a whole view has about 1 MB at most */
-    PEER_BACKLOG_MAX = 8 << 20, /* unsent bytes a connection may hold */
+    PEER_FRAME_MAX = 2 << 20,   /* bytes; a complete view is about 1 MB at most */
+    PEER_BACKLOG_MAX = 8 << 20, /* unsent bytes per connection */
 };
 
 typedef void (*peer_cb_t)(void *ctx, peer_conn_t *conn, const Iris__Envelope *message);
 
-/* A connection to that address was refused: no process listens there. */
+/* Called when a connection is refused, that is, no process listens on `to`. */
 typedef void (*peer_refused_cb_t)(void *ctx, const addr_t *to);
-/* Has it called with the ctx of peer_hub_start(). */
+/* Sets the callback; it receives the ctx of peer_hub_start(). */
 void peer_hub_on_refused(peer_hub_t *hub, peer_refused_cb_t cb);
 
-/* NULL with an error if the port cannot be opened; port 0 lets the system choose. Lives as long as
- * its process. */
+/* Starts listening; port 0 selects a free port. Returns NULL and sets `err` if that fails. The hub
+ * is never freed. */
 peer_hub_t *peer_hub_start(uv_loop_t *loop, const addr_t *listen, peer_cb_t cb, void *ctx,
                            err_t *err);
 uint16_t peer_hub_port(const peer_hub_t *hub);
-/* Sends to a peer's listening address; drops the message if too much is waiting. */
+/* Sends to a peer's listening address; drops the message if the send queue is full. */
 void peer_send(peer_hub_t *hub, const addr_t *to, const Iris__Envelope *message);
-/* Sends, unless earlier messages to that peer still wait for its connection: for state that peers
- * ask for if they miss it, so that old state does not queue before new. Large messages may be
- * overtaken by small ones. False if it was not sent. */
+/* Sends unless too much data is already queued for that peer; returns false if not sent. For state
+ * that peers request when it is missing, so that outdated state does not delay newer state. Small
+ * messages may overtake large ones. */
 bool peer_try_send(peer_hub_t *hub, const addr_t *to, const Iris__Envelope *message);
-/* Answers on the connection that brought the message. */
+/* Sends on the connection that delivered the request. */
 void peer_reply(peer_conn_t *conn, const Iris__Envelope *message);
-/* The same, unless earlier messages still wait for the connection. False if it was not sent. */
+/* Like peer_reply(), unless too much data is already queued; returns false if not sent. */
 bool peer_try_reply(peer_conn_t *conn, const Iris__Envelope *message);
-/* True if the message came on a connection that the peer opened: it is no answer. */
+/* Returns true if the peer opened the connection, so its messages are not replies. */
 bool peer_conn_is_incoming(const peer_conn_t *conn);
 /* Closes outgoing connections unused for `idle_ms`. */
 void peer_hub_sweep_idle(peer_hub_t *hub, uint64_t idle_ms);
-/* Closes outgoing connections that have not come up for so long. */
+/* Closes outgoing connections that are still not connected after `age_ms`. */
 void peer_hub_sweep_unconnected(peer_hub_t *hub, uint64_t age_ms);
-/* Closes outgoing connections whose output has not moved for `stalled_ms`, and those for large
- * messages that are not in use. */
+/* Closes outgoing connections without send progress for `stalled_ms`, and idle bulk connections. */
 void peer_hub_sweep_stalled(peer_hub_t *hub, uint64_t stalled_ms);
--- a/test/gateway/test_log_ring.c
+++ b/test/gateway/test_log_ring.c
@@ -1,4 +1,4 @@
-/* Log lines that never block. */
+/* The log ring never blocks and limits each module. */
 #include <string.h>
 #include <unistd.h>
 
@@ -11,13 +11,13 @@
     ck_assert_int_eq(pipe(fds), 0);
     const log_ring_conf_t conf = {.fd = fds[1], .size = 4096, .lines_per_s = 1e6, .burst = 1e6};
     log_ring_t *ring = log_ring_new(&conf);
-    /* Far more than the pipe and the ring hold: this returns because nothing waits. */
+    /* Exceeds the capacity of the pipe and the ring; a blocking write would hang here. */
     for (int i = 0; i < 20000; i++) {
         log_ring_add(ring, "exchange", "a line of some length that nobody reads", 1000);
         log_ring_flush(ring);
     }
     ck_assert_uint_gt(log_ring_dropped(ring), 1000);
-    /* Once it is read again, a line tells what is missing. */
+    /* Once the pipe is read again, a line reports the dropped lines. */
     static char text[1 << 20];
     size_t len = 0;
     for (int i = 0; i < 10; i++) {
--- a/test/main.c
+++ b/test/main.c
@@ -1,4 +1,4 @@
-/* Runs the unit tests; closes with one line that counts them. */
+/* Runs the unit tests and prints a summary line. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/test/test_base.c
+++ b/test/test_base.c
@@ -1,4 +1,4 @@
-/* Strings, addresses, clocks, buckets, histograms, traces and the entry's settings. */
+/* Strings, addresses, clocks, token buckets, histograms, traces and irisstall-entry settings. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/test/test_network.c
+++ b/test/test_network.c
@@ -1,4 +1,4 @@
-/* Bad input and broken connections, over loopback. */
+/* Invalid input and broken connections, over loopback. */
 #include <arpa/inet.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -22,8 +22,8 @@
     size_t requests;
     size_t messages;
     uint64_t last_version;
-    bool truncate_response; /* the server sends half an answer and closes */
-    int status;             /* of its answers, 0: 200 */
+    bool truncate_response; /* the server closes after half of the response body */
+    int status;             /* response status, 0: 200 */
 } net_t;
 
 static void
@@ -63,7 +63,7 @@
     return net;
 }
 
-/* Runs the loop until the condition holds; false after WAIT_TIMEOUT_MS. */
+/* Runs the loop until the condition holds; fails the test after WAIT_TIMEOUT_MS. */
 #define RUN_UNTIL(net, condition)                                                                  \
     do {                                                                                           \
         const uint64_t deadline_ = clock_steady_ms(clock_system()) + WAIT_TIMEOUT_MS;              \
@@ -113,7 +113,7 @@
     ck_assert(send(fd, bytes, len, MSG_NOSIGNAL) == (ssize_t)len);
 }
 
-/* Reads what has come; -1 if nothing yet, 0 once closed. */
+/* Non-blocking read; returns -1 if no data is available, 0 once closed. */
 static ssize_t
 poll_raw(int fd, char *buf, size_t size)
 {
@@ -158,9 +158,9 @@
     const char *bytes;
     size_t len;
 } invalid_frames[] = {
-    {"\xff\xff\xff\xff", 4},             /* far too long */
-    {"\x00\x00\x00\x03\xff\xff\xff", 7}, /* not protobuf */
-    {"\x00\x00\x00\x02\x08\x63", 6},     /* schema 99 */
+    {"\xff\xff\xff\xff", 4},             /* length above PEER_FRAME_MAX */
+    {"\x00\x00\x00\x03\xff\xff\xff", 7}, /* malformed protobuf */
+    {"\x00\x00\x00\x02\x08\x63", 6},     /* unsupported schema 99 */
 };
 
 START_TEST(invalid_frames_close_the_connection_and_are_counted)
