--- a/base/log.c
+++ b/base/log.c
@@ -157,7 +157,7 @@
         return;
     FILE *fresh = fopen(out_path, "ae");
     if (fresh == NULL) {
-        LOG_ERR("cannot reopen log: path=%s err=%s", out_path, strerror(errno));
+        LOG_ERR("failed to reopen log: path=%s err=%s", out_path, strerror(errno));
         return;
     }
     fclose(out);
--- a/base/tcp.c
+++ b/base/tcp.c
@@ -36,7 +36,7 @@
     if (uv_fileno((uv_handle_t *)tcp, &fd) != 0)
         return; /* already closed; the callback reports it */
     if (setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ms, sizeof(ms)) != 0)
-        LOG_WARN("user timeout not set: err=%s", strerror(errno));
+        LOG_WARN("failed to set TCP_USER_TIMEOUT: err=%s", strerror(errno));
 }
 
 void
@@ -44,7 +44,7 @@
 {
     const int rc = uv_send_buffer_size((uv_handle_t *)tcp, &bytes);
     if (rc != 0)
-        LOG_WARN("send buffer not set: err=%s", uv_strerror(rc));
+        LOG_WARN("failed to set SO_SNDBUF: err=%s", uv_strerror(rc));
 }
 
 void
@@ -55,5 +55,5 @@
     if (uv_fileno((uv_handle_t *)tcp, &fd) != 0)
         return; /* already closed */
     if (setsockopt(fd, SOL_SOCKET, SO_LINGER, &zero_linger, sizeof(zero_linger)) != 0)
-        LOG_WARN("reset on close not set: err=%s", strerror(errno));
+        LOG_WARN("failed to set SO_LINGER: err=%s", strerror(errno));
 }
--- a/peer/conn.c
+++ b/peer/conn.c
@@ -143,7 +143,7 @@
 static void
 reject(peer_conn_t *conn, const char *reason)
 {
-    LOG_WARN("bad frame, closing connection: why=%s", reason);
+    LOG_WARN("invalid frame, closing connection: why=%s", reason);
     counter_add(conn->hub->bad_frames, 1);
     peer_conn_close(conn);
 }
--- a/peer/link.c
+++ b/peer/link.c
@@ -74,7 +74,8 @@
 {
     peer_hub_t *hub = listener->data;
     if (status != 0) {
-        LOG_WARN("peer not accepted: port=%u err=%s", hub->port, uv_strerror(status));
+        LOG_WARN("failed to accept peer connection: port=%u err=%s", hub->port,
+                 uv_strerror(status));
         return;
     }
     peer_conn_t *conn = peer_conn_new(hub);
