--- a/base/log.c
+++ b/base/log.c
@@ -17,7 +17,7 @@
 
 enum { RING_SIZE = 32768, LINE_MAX_LEN = 1200 };
 
-/* Lines a second and burst of each module on standard output. */
+/* Rate limit of each module on standard output. */
 #define LINES_PER_S 60
 #define LINES_BURST 300
 
@@ -45,7 +45,7 @@
     snprintf(when, size, "%s.%03uZ", text, ms);
 }
 
-/* "what happened: a=1 b=2" becomes event="what happened" a=1 b=2. */
+/* Formats "text: a=1 b=2" as event="text" a=1 b=2. */
 static void
 append_to_ring(const log4c_logging_event_t *event, const char *when, const char *priority)
 {
@@ -92,7 +92,7 @@
 static const log4c_appender_type_t appender_type = {.name = "irisstall", .append = append};
 
 static bool
-start_library(log_level_t level, err_t *err)
+init_log4c(log_level_t level, err_t *err)
 {
     if (log4c_init() != 0) {
         err_set(err, ERR_SYSTEM, "log4c_init failed");
@@ -118,7 +118,7 @@
         .burst = LINES_BURST,
     };
     ring = log_ring_new(&conf);
-    return start_library(level, err);
+    return init_log4c(level, err);
 }
 
 void
@@ -147,7 +147,7 @@
     } else {
         out = stderr;
     }
-    return start_library(level, err);
+    return init_log4c(level, err);
 }
 
 void
@@ -157,7 +157,7 @@
         return;
     FILE *fresh = fopen(out_path, "ae");
     if (fresh == NULL) {
-        LOG_ERR("cannot reopen log: path=%s err=%s", out_path, strerror(errno));
+        LOG_ERR("failed to reopen log: path=%s err=%s", out_path, strerror(errno));
         return;
     }
     fclose(out);
--- a/base/tcp.c
+++ b/base/tcp.c
@@ -34,9 +34,9 @@
 {
     uv_os_fd_t fd;
     if (uv_fileno((uv_handle_t *)tcp, &fd) != 0)
-        return; /* closed meanwhile: its callback tells */
+        return; /* already closed; the callback reports it */
     if (setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ms, sizeof(ms)) != 0)
-        LOG_WARN("user timeout not set: err=%s", strerror(errno));
+        LOG_WARN("failed to set TCP_USER_TIMEOUT: err=%s", strerror(errno));
 }
 
 void
@@ -44,16 +44,16 @@
 {
     const int rc = uv_send_buffer_size((uv_handle_t *)tcp, &bytes);
     if (rc != 0)
-        LOG_WARN("send buffer not set: err=%s", uv_strerror(rc));
+        LOG_WARN("failed to set SO_SNDBUF: err=%s", uv_strerror(rc));
 }
 
 void
 tcp_reset_on_close(uv_tcp_t *tcp)
 {
-    static const struct linger at_once = {.l_onoff = 1, .l_linger = 0};
+    static const struct linger zero_linger = {.l_onoff = 1, .l_linger = 0};
     uv_os_fd_t fd;
     if (uv_fileno((uv_handle_t *)tcp, &fd) != 0)
-        return; /* closed already */
-    if (setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once)) != 0)
-        LOG_WARN("reset on close not set: err=%s", strerror(errno));
+        return; /* already closed */
+    if (setsockopt(fd, SOL_SOCKET, SO_LINGER, &zero_linger, sizeof(zero_linger)) != 0)
+        LOG_WARN("failed to set SO_LINGER: err=%s", strerror(errno));
 }
--- a/gateway/membership/account_exchange.c
+++ b/gateway/membership/account_exchange.c
@@ -44,7 +44,7 @@
 static int
 compare_receivers(const void *left, const void *right)
 {
-    return addr_order(&((const queued_sum_t *)left)->to, &((const queued_sum_t *)right)->to);
+    return addr_compare(&((const queued_sum_t *)left)->to, &((const queued_sum_t *)right)->to);
 }
 
 /* Sends the queue, batching the sums of each receiver, and frees it. */
--- a/gateway/resume.c
+++ b/gateway/resume.c
@@ -77,7 +77,7 @@
 resume_is_stale(const resume_t *resume)
 {
     return resume->awaiting_update ||
-           loop_now(resume->conf.loop) - resume->watch.turn_ms >= RESUME_THRESHOLD_MS;
+           loop_now(resume->conf.loop) - resume->watch.last_iteration_ms >= RESUME_THRESHOLD_MS;
 }
 
 bool
--- a/gateway/state/backends.c
+++ b/gateway/state/backends.c
@@ -22,7 +22,7 @@
 is_below(const void *ctx, size_t index)
 {
     const search_t *search = ctx;
-    return str_order(name_str(&search->backends->items[index]->info.id), search->id) < 0;
+    return str_compare(name_str(&search->backends->items[index]->info.id), search->id) < 0;
 }
 
 /* Index of the first entry whose id is not below `id`. */
--- a/gateway/state/config_accounts.c
+++ b/gateway/state/config_accounts.c
@@ -123,7 +123,7 @@
     const search_t search = {config, str_hash(key, config->key_seed)};
     size_t pos = search_lower_bound(config->key_count, is_key_below, &search);
     for (; pos < config->key_count && config->keys[pos].hash == search.wanted; pos++) {
-        if (str_eq_secret(key_text(&config->keys[pos]), key))
+        if (str_eq_constant_time(key_text(&config->keys[pos]), key))
             return config_account(config, config->keys[pos].account);
     }
     return NULL;
--- a/gateway/state/departures.c
+++ b/gateway/state/departures.c
@@ -23,7 +23,7 @@
 is_below(const void *ctx, size_t index)
 {
     const search_key_t *key = ctx;
-    return str_order(name_str(&key->departures->items[index].backend), key->backend) < 0;
+    return str_compare(name_str(&key->departures->items[index].backend), key->backend) < 0;
 }
 
 /* Index of the first departure whose backend is not below `backend`. */
--- a/gateway/state/notices.c
+++ b/gateway/state/notices.c
@@ -28,7 +28,7 @@
 is_below(const void *ctx, size_t index)
 {
     const search_t *search = ctx;
-    return str_order(name_str(&search->notices->items[index].backend), search->backend) < 0;
+    return str_compare(name_str(&search->notices->items[index].backend), search->backend) < 0;
 }
 
 static size_t
--- a/test/gateway/test_silent.c
+++ b/test/gateway/test_silent.c
@@ -343,12 +343,12 @@
     Iris__Envelope heartbeat = IRIS__ENVELOPE__INIT;
     heartbeat.body_case = IRIS__ENVELOPE__BODY_GATEWAY;
     heartbeat.gateway = &heartbeat_body;
-    ck_assert(peer_offer(hub, &server->addr, &update_envelope));
+    ck_assert(peer_try_send(hub, &server->addr, &update_envelope));
     RUN_UNTIL(server, server->accepted > 0);
     peer_send(hub, &server->addr, &heartbeat);
     RUN_UNTIL(server, server->bytes[1] > 0);
     /* A second update does not queue behind the first. */
-    ck_assert(!peer_offer(hub, &server->addr, &update_envelope));
+    ck_assert(!peer_try_send(hub, &server->addr, &update_envelope));
     ck_assert_uint_eq(server->accepted, 2);
     free(item.body.data);
 }
