--- a/gateway/membership/directory.h
+++ b/gateway/membership/directory.h
@@ -3,7 +3,7 @@
  *
  * Decides: the addresses in the directory's answer to a caller.
  * Inputs: the members, the caller's data hall and region, the time in milliseconds.
- * Rule: ready and alive instances of the caller's data hall if there are any, as many as naming.h
+ * Rule: ready and alive instances of the caller's data hall if there are any, as many as subset.h
  * selects; else all of its region, else all. Instances that are leaving, or silent for 3.25
  * heartbeat intervals, are not listed.
  *
--- a/gateway/membership/members.h
+++ b/gateway/membership/members.h
@@ -32,7 +32,7 @@
     HEARTBEAT_MS_PER_MEMBER = 20,
     HEARTBEAT_MAX_MS = 1200,
     /* Instances that must find the store failing before it counts as down; as many as retry first
-     * while nobody watches it (policy/store_turns.c). */
+     * while nobody watches it (policy/store_schedule.c). */
     MEMBERS_OUTAGE_QUORUM = 4,
     STORE_AGE_NONE = 0xffffffff, /* store_age_ms of an instance that does not watch */
 };
--- a/gateway/membership/owner.h
+++ b/gateway/membership/owner.h
@@ -4,7 +4,7 @@
  *
  * Decides: one member, by rendezvous hashing of its name and the key, weighted by cores. All
  * instances of a region with the same member table choose the same owner; a short disagreement is
- * handled by the owners (state/account_ledgers.h, policy/named_limit.h). Where liveness is known,
+ * handled by the owners (state/account_ledgers.h, policy/rate_limit.h). Where liveness is known,
  * only alive members that are not leaving qualify. A member that does not answer is passed over at
  * most twice: an instance that misses the answers of three others is itself slow and must not
  * become the owner. In another region of a large fleet any member ever heard qualifies, since its
--- a/gateway/membership/permit_exchange.h
+++ b/gateway/membership/permit_exchange.h
@@ -8,7 +8,7 @@
  * once. A request without a timely answer counts as refused.
  *
  * Owns the pending requests and the buckets of the backend servers that this instance owns. Depends
- * on policy/named_limit.h for the rate and on peer/link.h.
+ * on policy/rate_limit.h for the rate and on peer/link.h.
  */
 #pragma once
 
--- a/gateway/state/account_ledger.h
+++ b/gateway/state/account_ledger.h
@@ -3,7 +3,7 @@
  * instances. Kept by the account's owner.
  *
  * Each region has one owner per account (membership/owner.h). The region's instances report their
- * usage to it, and the owners exchange their totals (membership/account_news.h). Every owner
+ * usage to it, and the owners exchange their totals (membership/account_sync.h). Every owner
  * charges all admitted requests to its own token bucket, so that the buckets agree within about 100
  * ms. When few tokens are left, policy/account_share.h limits each region and instance to a share
  * in proportion to its recent demand.
--- a/gateway/state/account_uses.h
+++ b/gateway/state/account_uses.h
@@ -3,10 +3,10 @@
  * and the last grant from the account's owner.
  *
  * Counts are cumulative over the lifetime of the process, so that lost or duplicated reports are
- * harmless (membership/account_news.h). An entry is created by an account's first request and
+ * harmless (membership/account_sync.h). An entry is created by an account's first request and
  * removed when the account is idle; memory and messages scale with the active accounts only.
  *
- * Owns the table, 224 bytes an entry. Relies on policy/account_gate.h for the decision; time is
+ * Owns the table, 224 bytes an entry. Relies on policy/account_limiter.h for the decision; time is
  * passed in.
  */
 #pragma once
--- a/gateway/state/catalog_backends.c
+++ b/gateway/state/catalog_backends.c
@@ -215,7 +215,8 @@
     for (size_t i = 0; i < view->count; i++) {
         const view_item_t *item = &view->items[i];
         const str_t id = str_from(item->name);
-        while (pos < backends->count && str_compare(name_str(&backends->items[pos]->info.id), id) < 0)
+        while (pos < backends->count &&
+               str_compare(name_str(&backends->items[pos]->info.id), id) < 0)
             schedule_removal(change, backends->items[pos++]);
         const bool known = pos < backends->count && name_eq(&backends->items[pos]->info.id, id);
         backend_t *backend = known ? backends->items[pos++] : NULL;
--- a/gateway/state/permits.h
+++ b/gateway/state/permits.h
@@ -4,7 +4,7 @@
  *
  * Owns a bucket for each incarnation of a backend server that a permit was requested for lately. A
  * bucket starts empty, since the previous owner may have granted all tokens. Relies on
- * policy/named_limit.h; time is passed in.
+ * policy/rate_limit.h; time is passed in.
  */
 #pragma once
 
--- a/gateway/state/traffic.h
+++ b/gateway/state/traffic.h
@@ -2,7 +2,7 @@
  * Traffic: the rate of requests of this instance, and the bytes they transfer over its link.
  *
  * Owns two moving averages over about 2 s, which heartbeats send to the other instances (used by
- * naming.h). Time is passed in.
+ * subset.h). Time is passed in.
  */
 #pragma once
 
--- a/gateway/state/view_push.h
+++ b/gateway/state/view_push.h
@@ -6,8 +6,8 @@
  * to whom and how often. An object that changed several times is sent once, in its current state. A
  * change may start from an earlier base revision if that does not make it larger, so that a peer
  * that missed changes can still apply it. A peer whose connection is backed up is skipped
- * (peer_try_send()); it receives a later change or requests what it lacks (view_relay.h). For a large
- * change of the backend list, the departing backend servers are sent ahead, directly to all
+ * (peer_try_send()); it receives a later change or requests what it lacks (view_relay.h). For a
+ * large change of the backend list, the departing backend servers are sent ahead, directly to all
  * receivers (departures.h).
  *
  * Owns the pending changes and the rate limit. Depends on views.h for the objects, on
