--- a/ctl/table_cmd.c
+++ b/ctl/table_cmd.c
@@ -10,7 +10,7 @@
 #include "ctl/commit.h"
 #include "ctl/table_cmd.h"
 #include "ctl/table_file.h"
-#include "entry/region/gate.h"
+#include "entry/region/limiter.h"
 #include "entry/table/ramp.h"
 #include "entry/table/table_json.h"
 
--- a/entry/gossip_heartbeat.c
+++ b/entry/gossip_heartbeat.c
@@ -36,7 +36,7 @@
     beat->incarnation = node->incarnation;
     beat->sent_ms = now;
     beat->epoch = credit_epoch(node->credit);
-    beat->settled = gate_settled(&node->gate, now);
+    beat->settled = limiter_settled(&node->gate, now);
     beat->usable = credit_usable(node->credit, now);
     beat->in_flight = credit_in_flight(node->credit);
     beat->leaving = node->leaving;
--- a/entry/node.c
+++ b/entry/node.c
@@ -37,7 +37,8 @@
 {
     for (size_t i = 0; i < table->row_count; i++) {
         const table_row_t *row = &table->rows[i];
-        gate_row_t *use = gate_row(&node->gate, name_str(&table->service), name_str(&row->place));
+        limiter_row_t *use =
+            limiter_row(&node->gate, name_str(&table->service), name_str(&row->place));
         use->limit = row->limit;
         use->rate = row->rate;
     }
@@ -81,7 +82,7 @@
         return false;
     }
     if (name_eq(&limits.region, name_str(&node->settings.region)))
-        gate_set_limits(&node->gate, &limits);
+        limiter_set_limits(&node->gate, &limits);
     return true;
 }
 
@@ -292,7 +293,7 @@
     node->objects = objects_new(&object_cbs, node);
     node->credit = credit_new(&settings->name, node->incarnation);
     node->planner = planner_new();
-    gate_init(&node->gate, node->credit, node_now(node));
+    limiter_init(&node->gate, node->credit, node_now(node));
     node->steer = steer_new();
     node->keys = key_book_new();
     extra_budget_init(&node->extra);
--- a/entry/node_state.h
+++ b/entry/node_state.h
@@ -24,7 +24,7 @@
 #include "entry/lookup/steer.h"
 #include "peer/link.h"
 #include "entry/object_store/client.h"
-#include "entry/region/gate.h"
+#include "entry/region/limiter.h"
 #include "entry/region/plan.h"
 #include "entry/request/budget.h"
 #include "entry/request/key.h"
@@ -96,7 +96,7 @@
 
     credit_t *credit;
     planner_t *planner;
-    gate_t gate;
+    limiter_t gate;
     bool plan_in_flight;
 
     backends_t backends;
--- a/entry/path/attempt.c
+++ b/entry/path/attempt.c
@@ -20,7 +20,7 @@
     exchange_t *exchange;
     node_t *node;
     backend_t *backend;
-    gate_row_t *row;
+    limiter_row_t *row;
     bool is_long;
     http_call_t *call;
     trace_t trace;
@@ -36,7 +36,7 @@
 typedef struct {
     uv_timer_t timer;
     node_t *node;
-    gate_row_t *row;
+    limiter_row_t *row;
     bool is_long;
 } resting_t;
 
@@ -50,7 +50,7 @@
 on_rest_over(uv_timer_t *timer)
 {
     resting_t *resting = timer->data;
-    gate_leave(&resting->node->gate, resting->row, resting->is_long);
+    limiter_release(&resting->node->gate, resting->row, resting->is_long);
     uv_close((uv_handle_t *)timer, on_resting_closed);
 }
 
@@ -62,7 +62,7 @@
     node_t *node = attempt->node;
     const uint64_t now = node_now(node);
     if (certain || now >= attempt->deadline_ms) {
-        gate_leave(&node->gate, attempt->row, attempt->is_long);
+        limiter_release(&node->gate, attempt->row, attempt->is_long);
     } else {
         resting_t *resting = xcalloc(1, sizeof(*resting));
         resting->node = node;
--- a/entry/path/attempt.h
+++ b/entry/path/attempt.h
@@ -13,8 +13,8 @@
     backend_t *backend; /* NULL: another entry */
     addr_t entry;
     hop_t hop;
-    gate_row_t *row; /* admitted at the gate; NULL for another entry */
-    bool is_long;    /* admitted as a request with a long deadline */
+    limiter_row_t *row; /* admitted at the gate; NULL for another entry */
+    bool is_long;       /* admitted as a request with a long deadline */
     const char *place;
 } attempt_conf_t;
 
--- a/entry/path/local.c
+++ b/entry/path/local.c
@@ -51,12 +51,13 @@
     node_t *node = x->node;
     const uint64_t now = node_now(node);
     const table_row_t *row_ = &service->table->rows[row];
-    gate_row_t *entered = gate_row(&node->gate, name_str(&x->service), name_str(&row_->place));
+    limiter_row_t *entered =
+        limiter_row(&node->gate, name_str(&x->service), name_str(&row_->place));
     const bool is_long = x->deadline_ms > now + CREDIT_SHORT_MS;
-    const gate_result_t result = gate_enter(&node->gate, entered, is_long, now);
-    if (result != GATE_OPEN) {
-        x->refusal = gate_result_name(result);
-        if (result == GATE_REGION_FULL)
+    const limiter_result_t result = limiter_acquire(&node->gate, entered, is_long, now);
+    if (result != LIMITER_ADMITTED) {
+        x->refusal = limiter_result_name(result);
+        if (result == LIMITER_REGION_FULL)
             ask_for_credits(node);
         return false;
     }
@@ -66,7 +67,7 @@
                              .policy = node->settings.policy};
     backend_t *backend = backend_choose(&node->backends, &choice, now, &node->rng, &node->turn);
     if (backend == NULL || (moved && !steer_take_request_spill(service, row, node_now(x->node)))) {
-        gate_leave(&node->gate, entered, is_long);
+        limiter_release(&node->gate, entered, is_long);
         x->refusal = backend == NULL ? "no_server_free" : "shift_cap";
         return false;
     }
--- a/entry/path/local.h
+++ b/entry/path/local.h
@@ -2,8 +2,8 @@
  * Sending a request to a place of this region: the place is drawn by the shares, the region's gate
  * admits, a server with room is chosen.
  *
- * A place beyond the shares counts against its cap. Relies on region/gate.h, backend/backend.h and
- * lookup/steer.h, on attempt.h to send.
+ * A place beyond the shares counts against its cap. Relies on region/limiter.h, backend/backend.h
+ * and lookup/steer.h, on attempt.h to send.
  */
 #pragma once
 
--- a/entry/path/outcome.c
+++ b/entry/path/outcome.c
@@ -89,7 +89,7 @@
     if (x->filling.len >= BUFFER_HIGH)
         attempt_pause(attempt);
     if (attempt_backend(attempt) != NULL &&
-        !gate_link_charge(&x->node->gate, len, node_now(x->node))) {
+        !limiter_charge_link(&x->node->gate, len, node_now(x->node))) {
         x->paused_by_link = true;
         attempt_pause(attempt);
     }
@@ -169,7 +169,7 @@
     exchange_t *x = node->exchanges;
     while (x != NULL) {
         exchange_t *next = x->next;
-        if (x->paused_by_link && gate_link_open(&node->gate, now)) {
+        if (x->paused_by_link && limiter_link_available(&node->gate, now)) {
             x->paused_by_link = false;
             if (x->winner != NULL && x->filling.len < BUFFER_HIGH)
                 attempt_resume(x->winner);
--- a/entry/region/allocation.c
+++ b/entry/region/allocation.c
@@ -6,10 +6,11 @@
 #include "entry/region/allocation.h"
 
 uint32_t
-former_reserve(const former_t *former)
+former_holder_reserve(const former_holder_t *former)
 {
-    return former->stage == FORMER_LONG && former->long_bound > CREDIT_FLOOR ? former->long_bound
-                                                                             : CREDIT_FLOOR;
+    return former->stage == FORMER_HOLDER_LONG_ONLY && former->long_bound > CREDIT_FLOOR
+               ? former->long_bound
+               : CREDIT_FLOOR;
 }
 
 static bool
@@ -64,12 +65,12 @@
         int long_bound;
         json_int_t left_epoch;
         int stage;
-        former_t *former = &allocation->formers[allocation->former_count++];
+        former_holder_t *former = &allocation->formers[allocation->former_count++];
         if (json_unpack(item, "{s:s, s:I, s:i, s:i, s:I, s:i}", "instance", &name, "incarnation",
                         &incarnation, "quorum_of", &quorum_of, "long_bound", &long_bound,
                         "left_epoch", &left_epoch, "stage", &stage) != 0 ||
-            quorum_of < 1 || long_bound < 0 || stage < FORMER_RESTING || stage > FORMER_FLOOR ||
-            !name_set(&former->instance, str_from(name))) {
+            quorum_of < 1 || long_bound < 0 || stage < FORMER_HOLDER_ACTIVE ||
+            stage > FORMER_HOLDER_FLOOR_ONLY || !name_set(&former->instance, str_from(name))) {
             err_set(err, ERR_INVALID, "former holder %zu is not valid", i);
             return false;
         }
@@ -77,7 +78,7 @@
         former->quorum_of = (uint32_t)quorum_of;
         former->long_bound = (uint32_t)long_bound;
         former->left_epoch = (uint64_t)left_epoch;
-        former->stage = (former_stage_t)stage;
+        former->stage = (former_holder_stage_t)stage;
     }
     return true;
 }
@@ -130,7 +131,7 @@
                                         "long_bound", (int)h->long_bound));
     }
     for (size_t i = 0; i < allocation->former_count; i++) {
-        const former_t *f = &allocation->formers[i];
+        const former_holder_t *f = &allocation->formers[i];
         json_array_append_new(
             formers, json_pack("{s:s, s:I, s:i, s:i, s:I, s:i}", "instance", f->instance.ptr,
                                "incarnation", (json_int_t)f->incarnation, "quorum_of",
--- a/entry/region/allocation.h
+++ b/entry/region/allocation.h
@@ -26,10 +26,10 @@
 } holder_t;
 
 typedef enum {
-    FORMER_RESTING, /* may still act: nobody gains */
-    FORMER_LONG,    /* only its long requests may still run */
-    FORMER_FLOOR,   /* only the floor is kept back, while the platform lists it */
-} former_stage_t;
+    FORMER_HOLDER_ACTIVE,     /* may still act: nobody gains */
+    FORMER_HOLDER_LONG_ONLY,  /* only its long requests may still run */
+    FORMER_HOLDER_FLOOR_ONLY, /* only the floor is kept back, while the platform lists it */
+} former_holder_stage_t;
 
 typedef struct {
     name_t instance;
@@ -37,11 +37,11 @@
     uint32_t quorum_of;
     uint32_t long_bound;
     uint64_t left_epoch; /* the last epoch at which it was a holder */
-    former_stage_t stage;
-} former_t;
+    former_holder_stage_t stage;
+} former_holder_t;
 
 /* Credits kept back for a former holder. */
-uint32_t former_reserve(const former_t *former);
+uint32_t former_holder_reserve(const former_holder_t *former);
 
 typedef struct {
     name_t region;
@@ -49,7 +49,7 @@
     uint32_t limit;
     holder_t *holders;
     size_t holder_count;
-    former_t *formers;
+    former_holder_t *formers;
     size_t former_count;
 } allocation_t;
 
--- a/entry/region/credit.c
+++ b/entry/region/credit.c
@@ -12,7 +12,7 @@
     uint64_t epoch;
     bool settled;
     uint64_t confirmed_ms; /* it knew of no epoch after ours, asked then; 0: never */
-} view_t;
+} peer_state_t;
 
 /* A holder's part of a limit: the span from..to of the whole. */
 typedef struct {
@@ -28,12 +28,12 @@
     uint32_t usable; /* at most `target`; equal to it once the gains are unlocked */
     uint32_t in_flight;
     uint32_t long_in_flight;
-    uint32_t long_part;
+    uint32_t long_share;
     bool unlocked;
     bool surrendered;
     uint64_t store_confirmed_ms;
-    view_t *views;
-    size_t view_count;
+    peer_state_t *peers;
+    size_t peer_count;
     span_t *spans; /* of every epoch since the last unlocked one, the present one last */
     size_t span_count;
 };
@@ -53,7 +53,7 @@
     if (credit == NULL)
         return;
     allocation_free(credit->allocation);
-    free(credit->views);
+    free(credit->peers);
     free(credit->spans);
     free(credit);
 }
@@ -77,39 +77,41 @@
            name_eq(&holder->instance, name_str(&credit->self));
 }
 
-static view_t *
-find_view(const credit_t *credit, str_t instance, uint64_t incarnation)
+static peer_state_t *
+find_peer(const credit_t *credit, str_t instance, uint64_t incarnation)
 {
-    for (size_t i = 0; i < credit->view_count; i++) {
-        view_t *view = &credit->views[i];
-        if (view->incarnation == incarnation && name_eq(&view->instance, instance))
-            return view;
+    for (size_t i = 0; i < credit->peer_count; i++) {
+        peer_state_t *peer = &credit->peers[i];
+        if (peer->incarnation == incarnation && name_eq(&peer->instance, instance))
+            return peer;
     }
     return NULL;
 }
 
-/* Makes a view for each other holder, keeping what is known of those that stay. */
+/* Makes a peer for each other holder, keeping what is known of those that stay. */
 static void
-rebuild_views(credit_t *credit)
+rebuild_peers(credit_t *credit)
 {
     const allocation_t *allocation = credit->allocation;
-    view_t *views = xcalloc(allocation->holder_count, sizeof(*views));
+    peer_state_t *peers = xcalloc(allocation->holder_count, sizeof(*peers));
     size_t count = 0;
     for (size_t i = 0; i < allocation->holder_count; i++) {
         const holder_t *holder = &allocation->holders[i];
         if (is_self(credit, holder))
             continue;
-        const view_t *old = find_view(credit, name_str(&holder->instance), holder->incarnation);
-        view_t *view = &views[count++];
+        const peer_state_t *old =
+            find_peer(credit, name_str(&holder->instance), holder->incarnation);
+        peer_state_t *peer = &peers[count++];
         if (old != NULL)
-            *view = *old;
+            *peer = *old;
         else
-            *view = (view_t){.instance = holder->instance, .incarnation = holder->incarnation};
-        view->settled = view->settled && view->epoch >= allocation->epoch;
+            *peer =
+                (peer_state_t){.instance = holder->instance, .incarnation = holder->incarnation};
+        peer->settled = peer->settled && peer->epoch >= allocation->epoch;
     }
-    free(credit->views);
-    credit->views = views;
-    credit->view_count = count;
+    free(credit->peers);
+    credit->peers = peers;
+    credit->peer_count = count;
 }
 
 static void
@@ -140,10 +142,10 @@
 }
 
 static bool
-has_resting_former(const allocation_t *allocation)
+has_active_former_holder(const allocation_t *allocation)
 {
     for (size_t i = 0; i < allocation->former_count; i++) {
-        if (allocation->formers[i].stage == FORMER_RESTING)
+        if (allocation->formers[i].stage == FORMER_HOLDER_ACTIVE)
             return true;
     }
     return false;
@@ -153,15 +155,15 @@
 try_unlock(credit_t *credit)
 {
     if (credit->unlocked || credit->allocation == NULL || !credit_settled(credit) ||
-        has_resting_former(credit->allocation))
+        has_active_former_holder(credit->allocation))
         return;
-    for (size_t i = 0; i < credit->view_count && !mutate_is(MUTATE_EARLY_UNLOCK); i++) {
-        if (!credit->views[i].settled)
+    for (size_t i = 0; i < credit->peer_count && !mutate_is(MUTATE_EARLY_UNLOCK); i++) {
+        if (!credit->peers[i].settled)
             return;
     }
     credit->unlocked = true;
     credit->usable = credit->target;
-    credit->long_part = credit_long_part(credit->target);
+    credit->long_share = credit_long_share(credit->target);
     credit->spans[0] = credit->spans[credit->span_count - 1];
     credit->span_count = 1;
 }
@@ -183,12 +185,12 @@
     }
     if (credit->surrendered)
         credit->target = 0;
-    if (credit->long_part > credit_long_part(credit->target))
-        credit->long_part = credit_long_part(credit->target);
+    if (credit->long_share > credit_long_share(credit->target))
+        credit->long_share = credit_long_share(credit->target);
     if (credit->usable > credit->target)
         credit->usable = credit->target;
     credit->unlocked = false;
-    rebuild_views(credit);
+    rebuild_peers(credit);
     push_span(credit);
     try_unlock(credit);
 }
@@ -197,14 +199,14 @@
 credit_peer_report(credit_t *credit, const credit_report_t *report, uint64_t now_ms)
 {
     (void)now_ms;
-    view_t *view = find_view(credit, report->instance, report->incarnation);
+    peer_state_t *peer = find_peer(credit, report->instance, report->incarnation);
     const uint64_t epoch = credit_epoch(credit);
-    if (view == NULL || report->epoch < view->epoch)
+    if (peer == NULL || report->epoch < peer->epoch)
         return;
-    view->epoch = report->epoch;
-    view->settled = report->epoch == epoch && report->settled;
-    if (report->epoch <= epoch && report->asked_ms > view->confirmed_ms)
-        view->confirmed_ms = report->asked_ms;
+    peer->epoch = report->epoch;
+    peer->settled = report->epoch == epoch && report->settled;
+    if (report->epoch <= epoch && report->asked_ms > peer->confirmed_ms)
+        peer->confirmed_ms = report->asked_ms;
     try_unlock(credit);
 }
 
@@ -242,22 +244,22 @@
         return true;
     if (is_fresh(credit->store_confirmed_ms, now_ms))
         return true;
-    size_t vouching = 1;
-    for (size_t i = 0; i < credit->view_count; i++) {
-        if (is_fresh(credit->views[i].confirmed_ms, now_ms))
-            vouching++;
+    size_t confirmed = 1;
+    for (size_t i = 0; i < credit->peer_count; i++) {
+        if (is_fresh(credit->peers[i].confirmed_ms, now_ms))
+            confirmed++;
     }
-    return vouching > credit->allocation->holder_count / 2;
+    return confirmed > credit->allocation->holder_count / 2;
 }
 
 bool
 credit_settled(const credit_t *credit)
 {
-    return credit->in_flight <= credit->usable && credit->long_in_flight <= credit->long_part;
+    return credit->in_flight <= credit->usable && credit->long_in_flight <= credit->long_share;
 }
 
 uint32_t
-credit_long_part(uint32_t credits)
+credit_long_share(uint32_t credits)
 {
     return (credits + CREDIT_LONG_DIVISOR - 1) / CREDIT_LONG_DIVISOR;
 }
@@ -277,10 +279,10 @@
 }
 
 bool
-credit_take(credit_t *credit, bool is_long, uint64_t now_ms)
+credit_acquire(credit_t *credit, bool is_long, uint64_t now_ms)
 {
     const bool full = credit->in_flight >= credit_usable(credit, now_ms) ||
-                      (is_long && credit->long_in_flight >= credit->long_part);
+                      (is_long && credit->long_in_flight >= credit->long_share);
     if (full && !mutate_is(MUTATE_NO_LIMIT))
         return false;
     credit->in_flight++;
@@ -313,7 +315,7 @@
 }
 
 uint32_t
-credit_part(const credit_t *credit, uint32_t limit, uint64_t now_ms)
+credit_share(const credit_t *credit, uint32_t limit, uint64_t now_ms)
 {
     if (credit->span_count == 0)
         return 0;
@@ -372,8 +374,8 @@
 {
     if (incarnation == credit->incarnation && name_eq(&credit->self, instance))
         return true;
-    const view_t *view = find_view(credit, instance, incarnation);
-    return view != NULL && view->epoch >= credit_epoch(credit);
+    const peer_state_t *peer = find_peer(credit, instance, incarnation);
+    return peer != NULL && peer->epoch >= credit_epoch(credit);
 }
 
 bool
@@ -381,6 +383,6 @@
 {
     if (incarnation == credit->incarnation && name_eq(&credit->self, instance))
         return credit->unlocked || credit_settled(credit);
-    const view_t *view = find_view(credit, instance, incarnation);
-    return view != NULL && view->settled;
+    const peer_state_t *peer = find_peer(credit, instance, incarnation);
+    return peer != NULL && peer->settled;
 }
--- a/entry/region/credit.h
+++ b/entry/region/credit.h
@@ -62,14 +62,14 @@
 uint32_t credit_usable(const credit_t *credit, uint64_t now_ms);
 uint32_t credit_in_flight(const credit_t *credit);
 /* Admits one request; false if the region's limit, as held here, is used up. */
-bool credit_take(credit_t *credit, bool is_long, uint64_t now_ms);
+bool credit_acquire(credit_t *credit, bool is_long, uint64_t now_ms);
 void credit_release(credit_t *credit, bool is_long);
 /* Gives up all authority for good, before a planned stop ends; nothing may be in flight. */
 void credit_surrender(credit_t *credit);
 bool credit_surrendered(const credit_t *credit);
 
 /* This instance's part of another limit of the region, split as the credits are. */
-uint32_t credit_part(const credit_t *credit, uint32_t limit, uint64_t now_ms);
+uint32_t credit_share(const credit_t *credit, uint32_t limit, uint64_t now_ms);
 /* Its part of a rate, 0..1. */
 double credit_fraction(const credit_t *credit, uint64_t now_ms);
 
@@ -78,7 +78,7 @@
 void credit_borrowed(credit_t *credit, uint64_t epoch, uint32_t granted);
 
 /* Long requests that a holder of `credits` may have in flight. */
-uint32_t credit_long_part(uint32_t credits);
+uint32_t credit_long_share(uint32_t credits);
 /* True if the holder reported that its use is within its part of the present epoch. */
 bool credit_peer_settled(const credit_t *credit, str_t instance, uint64_t incarnation);
 /* True if the holder is known to have adopted the present epoch or a newer one; for self, true. */
--- a/entry/region/gate.h
+++ b/entry/region/limiter.h
@@ -27,15 +27,15 @@
 bool region_limits_parse(str_t json, uint64_t version, region_limits_t *out, err_t *err);
 
 typedef enum {
-    GATE_OPEN,
-    GATE_REGION_FULL,
-    GATE_REGION_RATE,
-    GATE_ROW_FULL,
-    GATE_ROW_RATE,
-    GATE_LINK_FULL,
-} gate_result_t;
+    LIMITER_ADMITTED,
+    LIMITER_REGION_FULL,
+    LIMITER_REGION_RATE,
+    LIMITER_ROW_FULL,
+    LIMITER_ROW_RATE,
+    LIMITER_LINK_FULL,
+} limiter_result_t;
 
-const char *gate_result_name(gate_result_t result);
+const char *limiter_result_name(limiter_result_t result);
 
 /* Use of one row by this instance. */
 typedef struct {
@@ -45,26 +45,27 @@
     uint32_t rate;
     uint32_t in_flight;
     bucket_t tokens;
-} gate_row_t;
+} limiter_row_t;
 
 typedef struct {
     credit_t *credit;
     region_limits_t limits;
     bucket_t region_tokens;
     bucket_t link_tokens;
-    gate_row_t **rows; /* stable addresses */
+    limiter_row_t **rows; /* stable addresses */
     size_t row_count;
-} gate_t;
+} limiter_t;
 
-void gate_init(gate_t *gate, credit_t *credit, uint64_t now_ms);
-void gate_set_limits(gate_t *gate, const region_limits_t *limits);
+void limiter_init(limiter_t *limiter, credit_t *credit, uint64_t now_ms);
+void limiter_set_limits(limiter_t *limiter, const region_limits_t *limits);
 /* The row's record, made on first use. */
-gate_row_t *gate_row(gate_t *gate, str_t service, str_t place);
+limiter_row_t *limiter_row(limiter_t *limiter, str_t service, str_t place);
 /* `is_long`: its deadline is above CREDIT_SHORT_MS. */
-gate_result_t gate_enter(gate_t *gate, gate_row_t *row, bool is_long, uint64_t now_ms);
-void gate_leave(gate_t *gate, gate_row_t *row, bool is_long);
-/* Answer bytes passed on; false asks the caller to stop reading until gate_link_open(). */
-bool gate_link_charge(gate_t *gate, size_t bytes, uint64_t now_ms);
-bool gate_link_open(gate_t *gate, uint64_t now_ms);
+limiter_result_t limiter_acquire(limiter_t *limiter, limiter_row_t *row, bool is_long,
+                                 uint64_t now_ms);
+void limiter_release(limiter_t *limiter, limiter_row_t *row, bool is_long);
+/* Answer bytes passed on; false asks the caller to stop reading until limiter_link_available(). */
+bool limiter_charge_link(limiter_t *limiter, size_t bytes, uint64_t now_ms);
+bool limiter_link_available(limiter_t *limiter, uint64_t now_ms);
 /* True if all use, rows included, is within the parts of the present epoch. */
-bool gate_settled(const gate_t *gate, uint64_t now_ms);
+bool limiter_settled(const limiter_t *limiter, uint64_t now_ms);
--- a/entry/region/plan.c
+++ b/entry/region/plan.c
@@ -46,7 +46,7 @@
 
 /* An instance that runs again under its name has ended its former incarnation. */
 static bool
-is_listed(const plan_input_t *input, const former_t *former)
+is_listed(const plan_input_t *input, const former_holder_t *former)
 {
     for (size_t i = 0; i < input->member_count; i++) {
         const plan_member_t *member = &input->members[i];
@@ -82,8 +82,8 @@
 
 /* Former holders could confirm each other's old epoch only if they were a majority of it. */
 static bool
-formers_are_outvoted(const allocation_t *allocation, const plan_input_t *input,
-                     const former_t *former)
+former_holders_lack_majority(const allocation_t *allocation, const plan_input_t *input,
+                             const former_holder_t *former)
 {
     size_t listed = 0;
     for (size_t i = 0; i < allocation->former_count; i++) {
@@ -94,7 +94,7 @@
 }
 
 static expiry_t *
-find_expiry(const planner_t *planner, const former_t *former)
+find_expiry(const planner_t *planner, const former_holder_t *former)
 {
     for (size_t i = 0; i < planner->count; i++) {
         expiry_t *expiry = &planner->expiries[i];
@@ -107,15 +107,15 @@
 }
 
 /* What a former holder may still do, as far as can be known here and now. */
-static former_stage_t
+static former_holder_stage_t
 next_stage(planner_t *planner, const credit_t *credit, const allocation_t *allocation,
-           const plan_input_t *input, const former_t *former, uint64_t now_ms)
+           const plan_input_t *input, const former_holder_t *former, uint64_t now_ms)
 {
     if (mutate_is(MUTATE_EARLY_REISSUE))
-        return FORMER_FLOOR;
-    if (former->stage == FORMER_FLOOR || !all_holders_acked(credit, allocation))
+        return FORMER_HOLDER_FLOOR_ONLY;
+    if (former->stage == FORMER_HOLDER_FLOOR_ONLY || !all_holders_acked(credit, allocation))
         return former->stage;
-    if (is_listed(input, former) && !formers_are_outvoted(allocation, input, former))
+    if (is_listed(input, former) && !former_holders_lack_majority(allocation, input, former))
         return former->stage;
     const expiry_t *expiry = find_expiry(planner, former);
     if (expiry == NULL) {
@@ -127,14 +127,14 @@
                                                          .since_ms = now_ms};
         return former->stage;
     }
-    const uint64_t powerless_ms = expiry->since_ms + CREDIT_FENCE_MS;
-    if (now_ms >= powerless_ms + input->longest_deadline_ms)
-        return FORMER_FLOOR;
-    return now_ms >= powerless_ms + CREDIT_SHORT_MS ? FORMER_LONG : former->stage;
+    const uint64_t authority_end_ms = expiry->since_ms + CREDIT_FENCE_MS;
+    if (now_ms >= authority_end_ms + input->longest_deadline_ms)
+        return FORMER_HOLDER_FLOOR_ONLY;
+    return now_ms >= authority_end_ms + CREDIT_SHORT_MS ? FORMER_HOLDER_LONG_ONLY : former->stage;
 }
 
 static void
-add_former(allocation_t *next, const former_t *former)
+add_former_holder(allocation_t *next, const former_holder_t *former)
 {
     next->formers = xrealloc(next->formers, (next->former_count + 1) * sizeof(*next->formers));
     next->formers[next->former_count++] = *former;
@@ -142,7 +142,7 @@
 
 /* A former holder that is back, knows that it holds nothing and has nothing in flight. */
 static bool
-is_back(const credit_t *credit, const plan_input_t *input, const former_t *former)
+has_rejoined(const credit_t *credit, const plan_input_t *input, const former_holder_t *former)
 {
     const plan_member_t *member = find_member(input, &former->instance, former->incarnation);
     return member != NULL && member->alive &&
@@ -150,28 +150,28 @@
 }
 
 static void
-carry_formers(planner_t *planner, const credit_t *credit, const allocation_t *old,
-              const plan_input_t *input, allocation_t *next, uint64_t now_ms)
+carry_former_holders(planner_t *planner, const credit_t *credit, const allocation_t *old,
+                     const plan_input_t *input, allocation_t *next, uint64_t now_ms)
 {
     for (size_t i = 0; i < old->former_count; i++) {
-        former_t former = old->formers[i];
-        if (is_back(credit, input, &former))
+        former_holder_t former = old->formers[i];
+        if (has_rejoined(credit, input, &former))
             continue;
         former.stage = next_stage(planner, credit, old, input, &former, now_ms);
-        if (former.stage != FORMER_FLOOR || is_listed(input, &former))
-            add_former(next, &former);
+        if (former.stage != FORMER_HOLDER_FLOOR_ONLY || is_listed(input, &former))
+            add_former_holder(next, &former);
     }
     for (size_t i = 0; i < old->holder_count; i++) {
         const holder_t *holder = &old->holders[i];
         const plan_member_t *member = find_member(input, &holder->instance, holder->incarnation);
         if (member != NULL && (member->alive || member->surrendered))
             continue;
-        const former_t former = {.instance = holder->instance,
-                                 .incarnation = holder->incarnation,
-                                 .quorum_of = holder->quorum_of,
-                                 .long_bound = holder->long_bound,
-                                 .left_epoch = old->epoch};
-        add_former(next, &former);
+        const former_holder_t former = {.instance = holder->instance,
+                                        .incarnation = holder->incarnation,
+                                        .quorum_of = holder->quorum_of,
+                                        .long_bound = holder->long_bound,
+                                        .left_epoch = old->epoch};
+        add_former_holder(next, &former);
     }
 }
 
@@ -184,17 +184,19 @@
         const plan_member_t *member = &input->members[i];
         if (!member->alive || member->surrendered || next->holder_count == CREDIT_HOLDERS_MAX)
             continue;
-        const holder_t *was = find_holder(old, member);
+        const holder_t *previous = find_holder(old, member);
         holder_t *holder = &next->holders[next->holder_count++];
         *holder = (holder_t){.instance = member->instance, .incarnation = member->incarnation};
-        if (was == NULL)
+        if (previous == NULL)
             continue;
-        const bool acked = credit_acked(credit, name_str(&was->instance), was->incarnation);
-        holder->credits = was->credits;
-        holder->quorum_of = acked ? (uint32_t)old->holder_count : was->quorum_of;
-        holder->long_bound = credit_peer_settled(credit, name_str(&was->instance), was->incarnation)
-                                 ? credit_long_part(was->credits)
-                                 : was->long_bound;
+        const bool acked =
+            credit_acked(credit, name_str(&previous->instance), previous->incarnation);
+        holder->credits = previous->credits;
+        holder->quorum_of = acked ? (uint32_t)old->holder_count : previous->quorum_of;
+        holder->long_bound =
+            credit_peer_settled(credit, name_str(&previous->instance), previous->incarnation)
+                ? credit_long_share(previous->credits)
+                : previous->long_bound;
     }
     for (size_t i = 0; i < next->holder_count; i++) {
         holder_t *holder = &next->holders[i];
@@ -210,20 +212,20 @@
 }
 
 static bool
-any_resting(const allocation_t *next)
+any_former_holder_active(const allocation_t *next)
 {
     for (size_t i = 0; i < next->former_count; i++) {
-        if (next->formers[i].stage == FORMER_RESTING)
+        if (next->formers[i].stage == FORMER_HOLDER_ACTIVE)
             return true;
     }
     return false;
 }
 
 static void
-share_out(const allocation_t *old, allocation_t *next)
+distribute_credits(const allocation_t *old, allocation_t *next)
 {
     const size_t n = next->holder_count;
-    if (old != NULL && any_resting(next)) {
+    if (old != NULL && any_former_holder_active(next)) {
         /* Nobody gains while a former holder may still act; a lower limit shrinks all alike. */
         for (size_t i = 0; i < n && old->limit > next->limit; i++)
             next->holders[i].credits =
@@ -232,7 +234,7 @@
     }
     uint64_t reserved = 0;
     for (size_t i = 0; i < next->former_count; i++)
-        reserved += former_reserve(&next->formers[i]);
+        reserved += former_holder_reserve(&next->formers[i]);
     const uint32_t free_credits = next->limit > reserved ? (uint32_t)(next->limit - reserved) : 0;
     for (size_t i = 0; i < n; i++)
         next->holders[i].credits = (uint32_t)(free_credits / n + (i < free_credits % n ? 1 : 0));
@@ -243,7 +245,7 @@
 raise_long_bounds(allocation_t *next)
 {
     for (size_t i = 0; i < next->holder_count; i++) {
-        const uint32_t part = credit_long_part(next->holders[i].credits);
+        const uint32_t part = credit_long_share(next->holders[i].credits);
         if (part > next->holders[i].long_bound)
             next->holders[i].long_bound = part;
     }
@@ -277,11 +279,11 @@
     next->region = input->region;
     next->limit = input->limit;
     if (old != NULL)
-        carry_formers(planner, credit, old, input, next, now_ms);
+        carry_former_holders(planner, credit, old, input, next, now_ms);
     add_holders(credit, old, input, next);
     qsort(next->holders, next->holder_count, sizeof(*next->holders), compare_holders);
     if (next->holder_count > 0)
-        share_out(old, next);
+        distribute_credits(old, next);
     raise_long_bounds(next);
     if (next->holder_count == 0 || (old != NULL && same_allocation(old, next))) {
         allocation_free(next);
--- a/test/credit_sim.c
+++ b/test/credit_sim.c
@@ -165,7 +165,7 @@
         if (request->used)
             continue;
         const bool is_long = one_in(sim, 4);
-        if (!credit_take(node->credit, is_long, sim->now_ms))
+        if (!credit_acquire(node->credit, is_long, sim->now_ms))
             return;
         const uint64_t deadline = is_long ? LONG_DEADLINE_MS : SHORT_DEADLINE_MS;
         *request = (sim_request_t){.used = true,
--- a/test/test_credit.c
+++ b/test/test_credit.c
@@ -3,7 +3,7 @@
 
 #include "base/mutate.h"
 #include "entry/region/credit.h"
-#include "entry/region/gate.h"
+#include "entry/region/limiter.h"
 #include "test/credit_sim.h"
 #include "test/suites.h"
 
@@ -26,7 +26,7 @@
 }
 END_TEST
 
-START_TEST(simulation_fails_without_the_rule)
+START_TEST(simulation_detects_disabled_rules)
 {
     static const mutation_t mutations[] = {MUTATE_NO_FENCE, MUTATE_EARLY_UNLOCK,
                                            MUTATE_EARLY_REISSUE, MUTATE_LEND_FOR_FREE};
@@ -57,7 +57,7 @@
 }
 END_TEST
 
-START_TEST(stale_authority_leaves_the_floor)
+START_TEST(expired_authority_limits_to_floor)
 {
     name_t name;
     name_set(&name, STR("a"));
@@ -101,7 +101,7 @@
 }
 END_TEST
 
-START_TEST(gate_takes_all_or_nothing)
+START_TEST(limiter_acquires_all_or_none)
 {
     name_t name;
     name_set(&name, STR("a"));
@@ -112,25 +112,27 @@
                        "\"long_bound\":2}]}",
                        1),
                  1000);
-    gate_t gate;
-    gate_init(&gate, credit, 1000);
-    gate_row_t *row = gate_row(&gate, STR("s"), STR("p"));
+    limiter_t limiter;
+    limiter_init(&limiter, credit, 1000);
+    limiter_row_t *row = limiter_row(&limiter, STR("s"), STR("p"));
     row->limit = 2;
-    ck_assert_int_eq(gate_enter(&gate, row, false, 1000), GATE_OPEN);
-    ck_assert_int_eq(gate_enter(&gate, row, true, 1000), GATE_OPEN);
-    ck_assert_int_eq(gate_enter(&gate, row, false, 1000), GATE_ROW_FULL);
+    ck_assert_int_eq(limiter_acquire(&limiter, row, false, 1000), LIMITER_ADMITTED);
+    ck_assert_int_eq(limiter_acquire(&limiter, row, true, 1000), LIMITER_ADMITTED);
+    ck_assert_int_eq(limiter_acquire(&limiter, row, false, 1000), LIMITER_ROW_FULL);
     ck_assert_uint_eq(credit_in_flight(credit), 2);
-    gate_row_t *other = gate_row(&gate, STR("s"), STR("q"));
-    ck_assert_int_eq(gate_enter(&gate, other, true, 1000), GATE_OPEN);
-    ck_assert_int_eq(gate_enter(&gate, other, true, 1000), GATE_REGION_FULL); /* long part */
-    ck_assert_int_eq(gate_enter(&gate, other, false, 1000), GATE_OPEN);
-    ck_assert_int_eq(gate_enter(&gate, other, false, 1000), GATE_REGION_FULL);
-    gate_leave(&gate, row, false);
-    gate_leave(&gate, row, true);
+    limiter_row_t *other = limiter_row(&limiter, STR("s"), STR("q"));
+    ck_assert_int_eq(limiter_acquire(&limiter, other, true, 1000), LIMITER_ADMITTED);
+    ck_assert_int_eq(limiter_acquire(&limiter, other, true, 1000),
+                     LIMITER_REGION_FULL); /* long part */
+    ck_assert_int_eq(limiter_acquire(&limiter, other, false, 1000), LIMITER_ADMITTED);
+    ck_assert_int_eq(limiter_acquire(&limiter, other, false, 1000), LIMITER_REGION_FULL);
+    limiter_release(&limiter, row, false);
+    limiter_release(&limiter, row, true);
     row->rate = 2;
-    ck_assert_int_eq(gate_enter(&gate, row, false, 1000), GATE_ROW_RATE); /* no burst granted */
-    ck_assert_int_eq(gate_enter(&gate, row, false, 1600), GATE_OPEN);
-    ck_assert_int_eq(gate_enter(&gate, row, false, 1600), GATE_ROW_RATE);
+    ck_assert_int_eq(limiter_acquire(&limiter, row, false, 1000),
+                     LIMITER_ROW_RATE); /* no burst granted */
+    ck_assert_int_eq(limiter_acquire(&limiter, row, false, 1600), LIMITER_ADMITTED);
+    ck_assert_int_eq(limiter_acquire(&limiter, row, false, 1600), LIMITER_ROW_RATE);
     credit_free(credit);
 }
 END_TEST
@@ -142,13 +144,13 @@
     TCase *faults = tcase_create("faults");
     tcase_set_timeout(faults, 120);
     tcase_add_loop_test(faults, limit_holds_under_faults, 0, SEEDS);
-    tcase_add_loop_test(faults, simulation_fails_without_the_rule, 0, 4);
+    tcase_add_loop_test(faults, simulation_detects_disabled_rules, 0, 4);
     suite_add_tcase(suite, faults);
     TCase *rules = tcase_create("rules");
     tcase_add_test(rules, allocation_above_limit_is_refused);
-    tcase_add_test(rules, stale_authority_leaves_the_floor);
+    tcase_add_test(rules, expired_authority_limits_to_floor);
     tcase_add_test(rules, older_epoch_is_not_adopted);
-    tcase_add_test(rules, gate_takes_all_or_nothing);
+    tcase_add_test(rules, limiter_acquires_all_or_none);
     suite_add_tcase(suite, rules);
     return suite;
 }
