--- a/entry/region/allocation.h
+++ b/entry/region/allocation.h
@@ -1,8 +1,7 @@
 /*
- * Allocation: the stored object that says how many requests in flight each instance of a region may
- * have.
+ * The stored allocation: how many requests in flight each instance of a region may have.
  *
- * Immutable once parsed. Owns its lists. credit.h explains holders, former holders and epochs.
+ * Immutable once parsed; owns its lists. See credit.h for holders, former holders and epochs.
  */
 #pragma once
 
@@ -13,22 +12,22 @@
 #include "base/str.h"
 
 enum {
-    CREDIT_FLOOR = 1,         /* requests that an instance without authority may still have */
-    CREDIT_HOLDERS_MAX = 256, /* of a region; the size to design for has 52 (docs/CAPACITY.md) */
+    CREDIT_FLOOR = 1,         /* requests allowed to an instance without authority */
+    CREDIT_HOLDERS_MAX = 256, /* per region */
 };
 
 typedef struct {
     name_t instance;
     uint64_t incarnation;
     uint32_t credits;
-    uint32_t quorum_of;  /* fewest holders of any epoch this one may still act under */
+    uint32_t quorum_of;  /* smallest holder count of any epoch it may still act under */
     uint32_t long_bound; /* most long requests it may have in flight, earlier epochs included */
 } holder_t;
 
 typedef enum {
-    FORMER_HOLDER_ACTIVE,     /* may still act: nobody gains */
-    FORMER_HOLDER_LONG_ONLY,  /* only its long requests may still run */
-    FORMER_HOLDER_FLOOR_ONLY, /* only the floor is kept back, while the platform lists it */
+    FORMER_HOLDER_ACTIVE,     /* may still admit requests; no holder may gain credits */
+    FORMER_HOLDER_LONG_ONLY,  /* only its long requests may still be in flight */
+    FORMER_HOLDER_FLOOR_ONLY, /* only the floor is reserved, while the platform lists it */
 } former_holder_stage_t;
 
 typedef struct {
@@ -36,11 +35,11 @@
     uint64_t incarnation;
     uint32_t quorum_of;
     uint32_t long_bound;
-    uint64_t left_epoch; /* the last epoch at which it was a holder */
+    uint64_t left_epoch; /* last epoch in which it was a holder */
     former_holder_stage_t stage;
 } former_holder_t;
 
-/* Credits kept back for a former holder. */
+/* Credits reserved for a former holder. */
 uint32_t former_holder_reserve(const former_holder_t *former);
 
 typedef struct {
@@ -53,8 +52,8 @@
     size_t former_count;
 } allocation_t;
 
-/* NULL with an error if a rule is broken; free it with allocation_free(). */
+/* Returns NULL and sets `err` if the text is invalid; free with allocation_free(). */
 allocation_t *allocation_parse(str_t json, uint64_t version, err_t *err);
-/* The stored text; free() the result. */
+/* Returns the stored JSON text; free() the result. */
 char *allocation_format(const allocation_t *allocation);
 void allocation_free(allocation_t *allocation);
--- a/entry/region/credit.c
+++ b/entry/region/credit.c
@@ -5,16 +5,17 @@
 #include "base/xmalloc.h"
 #include "entry/region/credit.h"
 
-/* What is known of another holder of the present epoch. */
+/* Last known state of another holder of the current epoch. */
 typedef struct {
     name_t instance;
     uint64_t incarnation;
     uint64_t epoch;
     bool settled;
-    uint64_t confirmed_ms; /* it knew of no epoch after ours, asked then; 0: never */
+    uint64_t confirmed_ms; /* send time of the last request whose reply showed no newer epoch; 0:
+                              never */
 } peer_state_t;
 
-/* A holder's part of a limit: the span from..to of the whole. */
+/* A holder's share of a limit as an interval within 0..1. */
 typedef struct {
     double from;
     double to;
@@ -24,8 +25,8 @@
     name_t self;
     uint64_t incarnation;
     allocation_t *allocation;
-    uint32_t target; /* part at this epoch, loans included */
-    uint32_t usable; /* at most `target`; equal to it once the gains are unlocked */
+    uint32_t target; /* share in this epoch, loans included */
+    uint32_t usable; /* at most `target`; equal to it once unlocked */
     uint32_t in_flight;
     uint32_t long_in_flight;
     uint32_t long_share;
@@ -34,7 +35,7 @@
     uint64_t store_confirmed_ms;
     peer_state_t *peers;
     size_t peer_count;
-    span_t *spans; /* of every epoch since the last unlocked one, the present one last */
+    span_t *spans; /* one per epoch since the last unlocked one, the current one last */
     size_t span_count;
 };
 
@@ -88,7 +89,7 @@
     return NULL;
 }
 
-/* Makes a peer for each other holder, keeping what is known of those that stay. */
+/* Rebuilds the peer list from the allocation and keeps the state of holders that remain. */
 static void
 rebuild_peers(credit_t *credit)
 {
@@ -322,7 +323,7 @@
     uint32_t least = limit;
     for (size_t i = 0; i < credit->span_count; i++) {
         const span_t *span = &credit->spans[i];
-        /* The small term keeps a boundary that is a whole number from rounding down. */
+        /* The epsilon keeps a boundary at a whole number from being rounded down. */
         const uint32_t from = (uint32_t)(span->from * limit + 1e-6);
         const uint32_t to = (uint32_t)(span->to * limit + 1e-6);
         if (to - from < least)
--- a/entry/region/limiter.c
+++ b/entry/region/limiter.c
@@ -6,8 +6,7 @@
 #include "base/xmalloc.h"
 #include "entry/region/limiter.h"
 
-/* Lengths of the bursts, in seconds, that a rate (docs/TABLE.md) and the region's links allow.
- * Chosen, not measured. */
+/* Bucket depths, in seconds at the full rate. */
 #define RATE_BURST_S 0.25
 #define LINK_BURST_S 0.1
 
--- a/entry/region/limiter.h
+++ b/entry/region/limiter.h
@@ -1,8 +1,8 @@
 /*
- * Admission: the limits a request has to pass in its region, as far as this instance holds them.
+ * Limits that a request must pass in its region, as far as this instance holds them.
  *
- * A request is admitted when a credit of the region, a part of its row's in-flight limit and a
- * token of each rate are free, all taken together or not at all. Pure.
+ * A request is admitted if a credit of the region, a share of its row's in-flight limit and a token
+ * of each rate are available; they are taken all together or not at all. Performs no I/O.
  */
 #pragma once
 
@@ -15,13 +15,13 @@
 #include "base/str.h"
 #include "entry/region/credit.h"
 
-/* A region's own limits, as stored. */
+/* Configured limits of a region. */
 typedef struct {
     name_t region;
     uint64_t version;
     uint32_t limit;      /* requests in flight */
-    uint32_t rate;       /* requests started a second, 0: unlimited */
-    uint64_t link_bytes; /* answer bytes a second over its links, 0: unlimited */
+    uint32_t rate;       /* requests started per second, 0: unlimited */
+    uint64_t link_bytes; /* response bytes per second over its links, 0: unlimited */
 } region_limits_t;
 
 bool region_limits_parse(str_t json, uint64_t version, region_limits_t *out, err_t *err);
@@ -37,7 +37,7 @@
 
 const char *limiter_result_name(limiter_result_t result);
 
-/* Use of one row by this instance. */
+/* Usage of one table row by this instance. */
 typedef struct {
     name_t service;
     name_t place;
@@ -58,14 +58,14 @@
 
 void limiter_init(limiter_t *limiter, credit_t *credit, uint64_t now_ms);
 void limiter_set_limits(limiter_t *limiter, const region_limits_t *limits);
-/* The row's record, made on first use. */
+/* Returns the entry for a row and creates it on first use. */
 limiter_row_t *limiter_row(limiter_t *limiter, str_t service, str_t place);
-/* `is_long`: its deadline is above CREDIT_SHORT_MS. */
+/* `is_long`: the deadline is longer than CREDIT_SHORT_MS. */
 limiter_result_t limiter_acquire(limiter_t *limiter, limiter_row_t *row, bool is_long,
                                  uint64_t now_ms);
 void limiter_release(limiter_t *limiter, limiter_row_t *row, bool is_long);
-/* Answer bytes passed on; false asks the caller to stop reading until limiter_link_available(). */
+/* Charges response bytes; on false, stop reading until limiter_link_available() is true. */
 bool limiter_charge_link(limiter_t *limiter, size_t bytes, uint64_t now_ms);
 bool limiter_link_available(limiter_t *limiter, uint64_t now_ms);
-/* True if all use, rows included, is within the parts of the present epoch. */
+/* True if use, rows included, is within the shares of the current epoch. */
 bool limiter_settled(const limiter_t *limiter, uint64_t now_ms);
--- a/entry/region/plan.c
+++ b/entry/region/plan.c
@@ -5,11 +5,11 @@
 #include "base/xmalloc.h"
 #include "entry/region/plan.h"
 
-/* A former holder that cannot act any more, as far as this instance knows, since then. */
+/* When this instance first saw that a former holder can no longer renew its authority. */
 typedef struct {
     name_t instance;
     uint64_t incarnation;
-    uint64_t left_epoch; /* tells this absence from an earlier one */
+    uint64_t left_epoch; /* distinguishes repeated departures of one incarnation */
     uint64_t since_ms;
 } expiry_t;
 
@@ -44,7 +44,7 @@
     return NULL;
 }
 
-/* An instance that runs again under its name has ended its former incarnation. */
+/* A new incarnation of an instance means that the previous one has ended. */
 static bool
 is_listed(const plan_input_t *input, const former_holder_t *former)
 {
@@ -80,7 +80,7 @@
     return true;
 }
 
-/* Former holders could confirm each other's old epoch only if they were a majority of it. */
+/* Former holders can renew each other's authority only as a majority of their old epoch. */
 static bool
 former_holders_lack_majority(const allocation_t *allocation, const plan_input_t *input,
                              const former_holder_t *former)
@@ -106,7 +106,7 @@
     return NULL;
 }
 
-/* What a former holder may still do, as far as can be known here and now. */
+/* Advances the stage of a former holder once its authority and its requests have expired. */
 static former_holder_stage_t
 next_stage(planner_t *planner, const credit_t *credit, const allocation_t *allocation,
            const plan_input_t *input, const former_holder_t *former, uint64_t now_ms)
@@ -140,7 +140,7 @@
     next->formers[next->former_count++] = *former;
 }
 
-/* A former holder that is back, knows that it holds nothing and has nothing in flight. */
+/* True if a former holder is alive again and has reported that it holds no credits in use. */
 static bool
 has_rejoined(const credit_t *credit, const plan_input_t *input, const former_holder_t *former)
 {
@@ -226,7 +226,7 @@
 {
     const size_t n = next->holder_count;
     if (old != NULL && any_former_holder_active(next)) {
-        /* Nobody gains while a former holder may still act; a lower limit shrinks all alike. */
+        /* No holder may gain credits now; a lower limit reduces all in proportion. */
         for (size_t i = 0; i < n && old->limit > next->limit; i++)
             next->holders[i].credits =
                 (uint32_t)((uint64_t)next->holders[i].credits * next->limit / old->limit);
@@ -240,7 +240,7 @@
         next->holders[i].credits = (uint32_t)(free_credits / n + (i < free_credits % n ? 1 : 0));
 }
 
-/* A holder may have as many long requests as its part allows, or as an earlier one did. */
+/* A long bound covers the long share of this epoch and of the earlier ones. */
 static void
 raise_long_bounds(allocation_t *next)
 {
--- a/entry/region/plan.h
+++ b/entry/region/plan.h
@@ -1,9 +1,9 @@
 /*
- * The planner of credit allocations: who holds how much at the next epoch.
+ * Computes the credit allocation of the next epoch.
  *
- * Any instance of a region may plan; the conditional write lets one through. A holder that fell
- * silent becomes a former holder and its credits rest. They are reissued when it can have no
- * authority any more and its last request must be over, see credit.h. Pure.
+ * Any instance of a region may plan; the conditional write to the store accepts one. A holder that
+ * stops responding becomes a former holder, and its credits are reissued once its authority and its
+ * requests must have expired (see credit.h). Performs no I/O.
  */
 #pragma once
 
@@ -13,8 +13,8 @@
     name_t instance;
     uint64_t incarnation;
     bool listed;      /* by the platform */
-    bool alive;       /* heard from lately, or self */
-    bool surrendered; /* it said that it never uses credits again */
+    bool alive;       /* heard from recently, or self */
+    bool surrendered; /* has given up its credits permanently */
 } plan_member_t;
 
 typedef struct {
@@ -29,6 +29,6 @@
 
 planner_t *planner_new(void);
 void planner_free(planner_t *planner);
-/* The next allocation to write, or NULL if the present one is right. */
+/* Returns the next allocation to write, or NULL if the current one is up to date. */
 allocation_t *planner_next(planner_t *planner, const credit_t *credit, const plan_input_t *input,
                            uint64_t now_ms);
--- a/test/credit_sim.c
+++ b/test/credit_sim.c
@@ -31,7 +31,7 @@
     uint64_t started_ms;
 } sim_node_t;
 
-/* A request at a backend server; its instance may be gone. */
+/* A request at a backend server; it may outlive the instance that sent it. */
 typedef struct {
     bool used;
     bool is_long;
@@ -46,7 +46,7 @@
     char *stored;
     uint64_t version;
     uint64_t outage_until_ms;
-    uint64_t cut_until_ms; /* nodes 0 and 1 do not hear 2 and 3 */
+    uint64_t cut_until_ms; /* nodes 0 and 1 receive nothing from 2 and 3 */
     uint64_t now_ms;
     rng_t rng;
     const sim_conf_t *conf;
@@ -188,14 +188,14 @@
             continue;
         if (node->own_incarnation == request->incarnation && is_up(sim, node)) {
             if (!acts(sim, node))
-                continue; /* it learns of the end when it runs again */
+                continue; /* a paused instance sees the end when it resumes */
             credit_release(node->credit, request->is_long);
         }
         request->used = false;
     }
 }
 
-/* Requests still at a server: those that ended unseen by a paused instance do not count. */
+/* Requests in flight at the server; excludes those that a paused instance has not seen end. */
 static uint32_t
 in_flight(const sim_t *sim)
 {
@@ -216,7 +216,7 @@
         return;
     const uint64_t epoch = credit_epoch(borrower->credit);
     const uint32_t granted = credit_lend(lender->credit, epoch, 5, sim->now_ms);
-    if (!one_in(sim, 5)) /* else the answer is lost */
+    if (!one_in(sim, 5)) /* otherwise the response is lost */
         credit_borrowed(borrower->credit, epoch, granted);
 }
 
--- a/test/credit_sim.h
+++ b/test/credit_sim.h
@@ -1,7 +1,7 @@
 /*
- * A region's entry instances on a paused clock: they exchange heartbeats over links that lose
- * messages, write allocations to a store that has outages, crash, restart and stand still, and
- * start requests whenever they may. What is counted is what a backend server would see.
+ * Simulates a region's entry instances on a virtual clock: heartbeats over lossy links, allocations
+ * in a store with outages, crashes, restarts, pauses and requests at every opportunity. Requests in
+ * flight are counted as a backend server would see them.
  */
 #pragma once
 
--- a/test/test_credit.c
+++ b/test/test_credit.c
@@ -1,4 +1,4 @@
-/* Credits: the sum in use never exceeds the region's limit, whatever fails. */
+/* Credits: the total in use never exceeds the region's limit, whatever fails. */
 #include <stdlib.h>
 
 #include "base/mutate.h"
@@ -130,7 +130,7 @@
     limiter_release(&limiter, row, true);
     row->rate = 2;
     ck_assert_int_eq(limiter_acquire(&limiter, row, false, 1000),
-                     LIMITER_ROW_RATE); /* no burst granted */
+                     LIMITER_ROW_RATE); /* a new bucket starts empty */
     ck_assert_int_eq(limiter_acquire(&limiter, row, false, 1600), LIMITER_ADMITTED);
     ck_assert_int_eq(limiter_acquire(&limiter, row, false, 1600), LIMITER_ROW_RATE);
     credit_free(credit);
