--- a/entry/region/allocation.c
+++ b/entry/region/allocation.c
@@ -34,7 +34,7 @@
                            &quorum_of, "long_bound", &long_bound) != 0 ||
             credits < 0 || quorum_of < 1 || long_bound < 0 ||
             !name_set(&holder->instance, str_from(name))) {
-            err_set(err, ERR_INVALID, "holder %zu is not valid", i);
+            err_set(err, ERR_INVALID, "allocation: holder %zu is invalid", i);
             return false;
         }
         holder->incarnation = (uint64_t)incarnation;
@@ -44,8 +44,8 @@
         sum += holder->credits;
     }
     if (sum > allocation->limit) {
-        err_set(err, ERR_INVALID, "credits add up to %lu, above the limit %u", (unsigned long)sum,
-                allocation->limit);
+        err_set(err, ERR_INVALID, "allocation: credits total %lu, above the limit of %u",
+                (unsigned long)sum, allocation->limit);
         return false;
     }
     return true;
@@ -71,7 +71,7 @@
                         "left_epoch", &left_epoch, "stage", &stage) != 0 ||
             quorum_of < 1 || long_bound < 0 || stage < FORMER_HOLDER_ACTIVE ||
             stage > FORMER_HOLDER_FLOOR_ONLY || !name_set(&former->instance, str_from(name))) {
-            err_set(err, ERR_INVALID, "former holder %zu is not valid", i);
+            err_set(err, ERR_INVALID, "allocation: former holder %zu is invalid", i);
             return false;
         }
         former->incarnation = (uint64_t)incarnation;
@@ -101,7 +101,7 @@
     }
     if (!name_set(&allocation->region, str_from(region)) || limit < 0 || limit > UINT32_MAX ||
         json_array_size(holders) > CREDIT_HOLDERS_MAX) {
-        err_set(err, ERR_INVALID, "allocation: region=%s or its limit is not valid", region);
+        err_set(err, ERR_INVALID, "allocation: invalid region or limit, region=%s", region);
         goto err;
     }
     allocation->limit = (uint32_t)limit;
--- a/entry/region/limiter.c
+++ b/entry/region/limiter.c
@@ -29,8 +29,8 @@
     const bool ok = name_set(&out->region, str_from(region)) && limit >= 1 && limit <= UINT32_MAX &&
                     rate >= 0 && rate <= UINT32_MAX && link_bytes >= 0;
     if (!ok)
-        err_set(err, ERR_INVALID, "region %s: limit is 1 or more, rate and link_bytes 0 or more",
-                region);
+        err_set(err, ERR_INVALID,
+                "region %s: limit must be at least 1, rate and link_bytes at least 0", region);
     out->version = version;
     out->limit = (uint32_t)limit;
     out->rate = (uint32_t)rate;
