--- a/entry/lookup/blocks.c
+++ b/entry/lookup/blocks.c
@@ -21,7 +21,7 @@
     uint32_t chunk_count;
     uint32_t present;
     chunk_t *chunks;
-    uint64_t *firsts; /* first start of each chunk */
+    uint64_t *first_starts; /* first start of each chunk */
     size_t block_count;
     size_t per_area[BLOCKS_NO_AREA + 1];
 } set_t;
@@ -78,7 +78,7 @@
         free(set->chunks[i].areas);
     }
     free(set->chunks);
-    free(set->firsts);
+    free(set->first_starts);
     free(set);
 }
 
@@ -145,8 +145,8 @@
 chunks_ascend(const set_t *set)
 {
     for (size_t i = 1; i < set->chunk_count; i++) {
-        const chunk_t *before = &set->chunks[i - 1];
-        if (start_at(before, before->count - 1) >= set->chunks[i].first)
+        const chunk_t *previous = &set->chunks[i - 1];
+        if (start_at(previous, previous->count - 1) >= set->chunks[i].first)
             return false;
     }
     return true;
@@ -168,7 +168,7 @@
         set->family = message->family;
         set->chunk_count = message->count;
         set->chunks = xcalloc(message->count, sizeof(*set->chunks));
-        set->firsts = xcalloc(message->count, sizeof(*set->firsts));
+        set->first_starts = xcalloc(message->count, sizeof(*set->first_starts));
         *slot = set;
     }
     return *slot;
@@ -207,7 +207,7 @@
         ok = fill_chunk(chunk, message, err);
         if (ok) {
             set->present++;
-            set->firsts[message->index] = chunk->first;
+            set->first_starts[message->index] = chunk->first;
             set->block_count += chunk->count;
             for (size_t i = 0; i < chunk->count; i++)
                 set->per_area[chunk->areas[i]]++;
@@ -226,7 +226,7 @@
 
 /* Index of the last of `n` ascending values that is not above `key`; 0 if all are. */
 static size_t
-last_not_above32(const uint32_t *values, size_t n, uint32_t key)
+floor_index32(const uint32_t *values, size_t n, uint32_t key)
 {
     size_t base = 0;
     while (n > 1) {
@@ -238,7 +238,7 @@
 }
 
 static size_t
-last_not_above64(const uint64_t *values, size_t n, uint64_t key)
+floor_index64(const uint64_t *values, size_t n, uint64_t key)
 {
     size_t base = 0;
     while (n > 1) {
@@ -253,12 +253,13 @@
 blocks_area(const blocks_t *blocks, const client_addr_t *addr)
 {
     const set_t *set = blocks->current[family_index(addr->family)];
-    if (set == NULL || addr->key < set->firsts[0])
+    if (set == NULL || addr->key < set->first_starts[0])
         return BLOCKS_NO_AREA;
-    const chunk_t *chunk = &set->chunks[last_not_above64(set->firsts, set->chunk_count, addr->key)];
+    const chunk_t *chunk =
+        &set->chunks[floor_index64(set->first_starts, set->chunk_count, addr->key)];
     if (chunk->starts4 != NULL)
-        return chunk->areas[last_not_above32(chunk->starts4, chunk->count, (uint32_t)addr->key)];
-    return chunk->areas[last_not_above64(chunk->starts6, chunk->count, addr->key)];
+        return chunk->areas[floor_index32(chunk->starts4, chunk->count, (uint32_t)addr->key)];
+    return chunk->areas[floor_index64(chunk->starts6, chunk->count, addr->key)];
 }
 
 size_t
--- a/entry/lookup/plan.c
+++ b/entry/lookup/plan.c
@@ -8,9 +8,9 @@
  * rounds: docs/design/entry/shifts.md. */
 #define DELAY_SCALE_MS 10.0
 /* Added to each weight; sums up to it count as 0. */
-#define TINY 1e-12
+#define EPSILON 1e-12
 
-enum { ROUNDS = 40 }; /* of fitting rows and columns in turn */
+enum { FITTING_ITERATIONS = 40 }; /* of fitting rows and columns in turn */
 
 static void
 scale_columns(steer_plan_t *plan, const double *shares)
@@ -18,10 +18,10 @@
     for (size_t r = 0; r < plan->rows; r++) {
         double sum = 0;
         for (size_t a = 0; a < plan->areas; a++)
-            sum += plan->part[a * plan->rows + r];
-        const double factor = sum > TINY ? shares[r] / 100.0 / sum : 0;
+            sum += plan->fraction[a * plan->rows + r];
+        const double factor = sum > EPSILON ? shares[r] / 100.0 / sum : 0;
         for (size_t a = 0; a < plan->areas; a++)
-            plan->part[a * plan->rows + r] *= factor;
+            plan->fraction[a * plan->rows + r] *= factor;
     }
 }
 
@@ -31,11 +31,11 @@
     for (size_t a = 0; a < plan->areas; a++) {
         double sum = 0;
         for (size_t r = 0; r < plan->rows; r++)
-            sum += plan->part[a * plan->rows + r];
+            sum += plan->fraction[a * plan->rows + r];
         const double wanted = demand[a] / total;
-        const double factor = sum > TINY ? wanted / sum : 0;
+        const double factor = sum > EPSILON ? wanted / sum : 0;
         for (size_t r = 0; r < plan->rows; r++)
-            plan->part[a * plan->rows + r] *= factor;
+            plan->fraction[a * plan->rows + r] *= factor;
     }
 }
 
@@ -46,10 +46,10 @@
     for (size_t a = 0; a < plan->areas; a++) {
         double sum = 0;
         for (size_t r = 0; r < plan->rows; r++)
-            sum += plan->part[a * plan->rows + r];
+            sum += plan->fraction[a * plan->rows + r];
         for (size_t r = 0; r < plan->rows; r++) {
-            double *part = &plan->part[a * plan->rows + r];
-            *part = sum > TINY ? *part / sum : shares[r] / 100.0;
+            double *fraction = &plan->fraction[a * plan->rows + r];
+            *fraction = sum > EPSILON ? *fraction / sum : shares[r] / 100.0;
         }
     }
 }
@@ -61,7 +61,7 @@
     steer_plan_t *plan = xcalloc(1, sizeof(*plan));
     plan->areas = topology->region_count;
     plan->rows = table->row_count;
-    plan->part = xcalloc(plan->areas * plan->rows, sizeof(*plan->part));
+    plan->fraction = xcalloc(plan->areas * plan->rows, sizeof(*plan->fraction));
     double total = 0;
     for (size_t a = 0; a < plan->areas; a++)
         total += demand[a];
@@ -71,10 +71,10 @@
             continue;
         const size_t region = topology->places[place].region;
         for (size_t a = 0; a < plan->areas; a++)
-            plan->part[a * plan->rows + r] =
-                exp(-(double)topology->delay_ms[a][region] / DELAY_SCALE_MS) + TINY;
+            plan->fraction[a * plan->rows + r] =
+                exp(-(double)topology->delay_ms[a][region] / DELAY_SCALE_MS) + EPSILON;
     }
-    for (size_t i = 0; total > 0 && i < ROUNDS; i++) {
+    for (size_t i = 0; total > 0 && i < FITTING_ITERATIONS; i++) {
         scale_areas(plan, demand, total);
         scale_columns(plan, shares);
     }
@@ -87,7 +87,7 @@
 {
     if (plan == NULL)
         return;
-    free(plan->part);
+    free(plan->fraction);
     free(plan);
 }
 
@@ -98,12 +98,12 @@
     size_t best = SIZE_MAX;
     double best_score = 0;
     for (size_t r = 0; r < plan->rows; r++) {
-        const double part = plan->part[area * plan->rows + r];
-        if (part <= 0 || (skip != NULL && skip[r]))
+        const double fraction = plan->fraction[area * plan->rows + r];
+        if (fraction <= 0 || (skip != NULL && skip[r]))
             continue;
         const uint64_t hash = str_hash(name_str(&table->rows[r].place), key);
         const double unit = ((double)(hash >> 11) + 0.5) * 0x1.0p-53;
-        const double score = -log(unit) / part;
+        const double score = -log(unit) / fraction;
         if (best == SIZE_MAX || score < best_score) {
             best = r;
             best_score = score;
--- a/entry/lookup/plan.h
+++ b/entry/lookup/plan.h
@@ -17,7 +17,7 @@
 typedef struct {
     size_t areas;
     size_t rows;
-    double *part; /* areas x rows: share of the area's clients that go to the row, 0..1 */
+    double *fraction; /* areas x rows: share of the area's clients that go to the row, 0..1 */
 } steer_plan_t;
 
 /* `shares` per row of `table` in points; `demand` per region of `topology`, any scale. */
--- a/entry/lookup/spill.c
+++ b/entry/lookup/spill.c
@@ -12,8 +12,8 @@
     uint64_t second; /* of the newest slot */
     size_t rows;
     uint32_t total[SPILL_SLOTS];
-    uint32_t *moved; /* rows x SPILL_SLOTS */
-    float *part;     /* rows x SPILL_SLOTS: points over SPILL_RECENT_S up to each second */
+    uint32_t *spilled; /* rows x SPILL_SLOTS */
+    float *percent;    /* rows x SPILL_SLOTS: points over SPILL_RECENT_S up to each second */
 };
 
 spill_t *
@@ -21,8 +21,8 @@
 {
     spill_t *spill = xcalloc(1, sizeof(*spill));
     spill->rows = rows;
-    spill->moved = xcalloc(rows * SPILL_SLOTS, sizeof(*spill->moved));
-    spill->part = xcalloc(rows * SPILL_SLOTS, sizeof(*spill->part));
+    spill->spilled = xcalloc(rows * SPILL_SLOTS, sizeof(*spill->spilled));
+    spill->percent = xcalloc(rows * SPILL_SLOTS, sizeof(*spill->percent));
     return spill;
 }
 
@@ -31,8 +31,8 @@
 {
     if (spill == NULL)
         return;
-    free(spill->moved);
-    free(spill->part);
+    free(spill->spilled);
+    free(spill->percent);
     free(spill);
 }
 
@@ -52,27 +52,27 @@
 }
 
 static uint64_t
-recent_moved(const spill_t *spill, size_t row)
+recent_spilled(const spill_t *spill, size_t row)
 {
-    const uint32_t *moved = &spill->moved[row * SPILL_SLOTS];
+    const uint32_t *spilled = &spill->spilled[row * SPILL_SLOTS];
     uint64_t sum = 0;
     for (uint64_t i = 0; i < SPILL_RECENT_S && i <= spill->second; i++)
-        sum += moved[slot_of(spill->second - i)];
+        sum += spilled[slot_of(spill->second - i)];
     return sum;
 }
 
-/* Closes the newest second: notes each row's part; opens the next one. */
+/* Closes the newest second: notes each row's percent; opens the next one. */
 static void
-step(spill_t *spill)
+advance_one_second(spill_t *spill)
 {
     const uint64_t total = recent_total(spill);
     const size_t closing = slot_of(spill->second);
     const size_t opening = slot_of(spill->second + 1);
     for (size_t r = 0; r < spill->rows; r++) {
-        const double moved = (double)recent_moved(spill, r);
-        spill->part[r * SPILL_SLOTS + closing] =
-            total > 0 ? (float)(moved * POINTS / (double)total) : 0;
-        spill->moved[r * SPILL_SLOTS + opening] = 0;
+        const double spilled = (double)recent_spilled(spill, r);
+        spill->percent[r * SPILL_SLOTS + closing] =
+            total > 0 ? (float)(spilled * POINTS / (double)total) : 0;
+        spill->spilled[r * SPILL_SLOTS + opening] = 0;
     }
     spill->total[opening] = 0;
     spill->second++;
@@ -84,32 +84,32 @@
     const uint64_t second = now_ms / MS_PER_S;
     if (second > spill->second + SPILL_SLOTS) {
         memset(spill->total, 0, sizeof(spill->total));
-        memset(spill->moved, 0, spill->rows * SPILL_SLOTS * sizeof(*spill->moved));
-        memset(spill->part, 0, spill->rows * SPILL_SLOTS * sizeof(*spill->part));
+        memset(spill->spilled, 0, spill->rows * SPILL_SLOTS * sizeof(*spill->spilled));
+        memset(spill->percent, 0, spill->rows * SPILL_SLOTS * sizeof(*spill->percent));
         spill->second = second;
     }
     while (spill->second < second)
-        step(spill);
+        advance_one_second(spill);
 }
 
 void
-spill_count(spill_t *spill, uint64_t now_ms)
+spill_record_decision(spill_t *spill, uint64_t now_ms)
 {
     advance(spill, now_ms);
     spill->total[slot_of(spill->second)]++;
 }
 
 static double
-least_part(const spill_t *spill, size_t row)
+min_percent(const spill_t *spill, size_t row)
 {
-    const float *part = &spill->part[row * SPILL_SLOTS];
-    float least = (float)POINTS;
+    const float *percent = &spill->percent[row * SPILL_SLOTS];
+    float min = (float)POINTS;
     for (uint64_t i = 1; i <= SPILL_WINDOW_S; i++) {
-        const float value = i <= spill->second ? part[slot_of(spill->second - i)] : 0;
-        if (value < least)
-            least = value;
+        const float value = i <= spill->second ? percent[slot_of(spill->second - i)] : 0;
+        if (value < min)
+            min = value;
     }
-    return least;
+    return min;
 }
 
 bool
@@ -117,15 +117,15 @@
 {
     xassert(row < spill->rows);
     advance(spill, now_ms);
-    const double allowed = least_part(spill, row) + cap - ramp_rise;
-    const double after = (double)(recent_moved(spill, row) + 1) * POINTS;
+    const double allowed = min_percent(spill, row) + cap - ramp_rise;
+    const double after = (double)(recent_spilled(spill, row) + 1) * POINTS;
     if (allowed <= 0 || after > allowed * (double)recent_total(spill))
         return false;
-    /* Not all at once either: within this second it keeps to the same part. */
+    /* Not all at once either: within this second it keeps to the same percent. */
     const size_t slot = slot_of(spill->second);
-    uint32_t *moved = &spill->moved[row * SPILL_SLOTS + slot];
-    if (*moved * POINTS > allowed * spill->total[slot])
+    uint32_t *spilled = &spill->spilled[row * SPILL_SLOTS + slot];
+    if (*spilled * POINTS > allowed * spill->total[slot])
         return false;
-    (*moved)++;
+    (*spilled)++;
     return true;
 }
--- a/entry/lookup/spill.h
+++ b/entry/lookup/spill.h
@@ -24,6 +24,6 @@
 spill_t *spill_new(size_t rows);
 void spill_free(spill_t *spill);
 /* One decision about the service's traffic was made. */
-void spill_count(spill_t *spill, uint64_t now_ms);
+void spill_record_decision(spill_t *spill, uint64_t now_ms);
 /* Moves one request to `row` if the cap allows; `cap` and `ramp_rise` are points a minute. */
 bool spill_take(spill_t *spill, size_t row, double cap, double ramp_rise, uint64_t now_ms);
--- a/entry/lookup/steer.c
+++ b/entry/lookup/steer.c
@@ -59,7 +59,7 @@
     service->rises = xrealloc(service->rises, table->row_count * sizeof(*service->rises));
     service->skip = xrealloc(service->skip, table->row_count);
     service->regions = xrealloc(service->regions, table->row_count * sizeof(*service->regions));
-    service->skip_ms = 0;
+    service->skip_updated_ms = 0;
     service->computed_ms = 0;
     service->settled = false;
     return true;
@@ -152,8 +152,8 @@
 static bool
 take_spill(const service_t *service, spill_t *spill, size_t row, uint64_t now_ms)
 {
-    const double cap = service->table->rows[row].cap * STEER_CAP_PART;
-    const double rise = service->rises[row] * STEER_CAP_PART;
+    const double cap = service->table->rows[row].cap * STEER_CAP_FRACTION;
+    const double rise = service->rises[row] * STEER_CAP_FRACTION;
     return spill_take(spill, row, cap, rise, now_ms);
 }
 
@@ -169,7 +169,7 @@
 {
     const uint64_t key = block_key(service, client);
     const size_t area = area_of(steer, client, key);
-    spill_count(service->lookup_spill, now_ms);
+    spill_record_decision(service->lookup_spill, now_ms);
     steer_choice_t choice = {.row =
                                  steer_plan_pick(service->plan, service->table, area, key, NULL)};
     if (choice.row == SIZE_MAX || !skip[choice.row])
--- a/entry/lookup/steer.h
+++ b/entry/lookup/steer.h
@@ -17,7 +17,7 @@
 #include "entry/table/table.h"
 
 /* Half of a row's cap is for look-ups, half for requests, so that both keep it together. */
-#define STEER_CAP_PART 0.5
+#define STEER_CAP_FRACTION 0.5
 
 enum {
     /* Between plans while a shift runs; docs/CAPACITY.md has their cost. Chosen, not measured. */
@@ -31,12 +31,12 @@
     double *rises;   /* points each row gained by the ramp in the last minute */
     size_t *regions; /* region of each row's place, SIZE_MAX if the topology lacks it */
     steer_plan_t *plan;
-    spill_t *lookup_spill;  /* look-ups answered beyond the shares; half of each cap */
-    spill_t *request_spill; /* requests sent on beyond the shares; the other half */
-    uint8_t *skip;          /* rows that cannot serve now, kept by the entry */
-    uint64_t skip_ms;       /* steady time of `skip`, 0: never */
-    uint64_t computed_ms;   /* wall */
-    bool settled;           /* the ramp is over and the plan is final */
+    spill_t *lookup_spill;    /* look-ups answered beyond the shares; half of each cap */
+    spill_t *request_spill;   /* requests sent on beyond the shares; the other half */
+    uint8_t *skip;            /* rows that cannot serve now, kept by the entry */
+    uint64_t skip_updated_ms; /* steady time of `skip`, 0: never */
+    uint64_t computed_ms;     /* wall */
+    bool settled;             /* the ramp is over and the plan is final */
 } service_t;
 
 typedef struct {
--- a/entry/path/arrival.c
+++ b/entry/path/arrival.c
@@ -181,7 +181,7 @@
         return;
     }
     if (x->hop == HOP_CALLER)
-        spill_count(service->request_spill, x->started_ms);
+        spill_record_decision(service->request_spill, x->started_ms);
     if (class_->repeatable || x->hop == HOP_ENTRY)
         route_request(x);
     else
--- a/entry/path/lookup_answer.c
+++ b/entry/path/lookup_answer.c
@@ -33,9 +33,9 @@
 refresh_skip(node_t *node, service_t *service)
 {
     const uint64_t now = node_now(node);
-    if (service->skip_ms != 0 && now < service->skip_ms + SKIP_REFRESH_MS)
+    if (service->skip_updated_ms != 0 && now < service->skip_updated_ms + SKIP_REFRESH_MS)
         return;
-    service->skip_ms = now;
+    service->skip_updated_ms = now;
     const topology_t *topology = node->steer->topology;
     for (size_t r = 0; r < service->table->row_count; r++) {
         const name_t *place = &service->table->rows[r].place;
--- a/test/test_lookup.c
+++ b/test/test_lookup.c
@@ -37,7 +37,7 @@
     return area;
 }
 
-START_TEST(blocks_agree_with_a_linear_search)
+START_TEST(blocks_match_linear_search)
 {
     const uint32_t family = _i == 0 ? 4 : 6;
     rng_t rng = {.state = 3};
@@ -67,7 +67,7 @@
 }
 END_TEST
 
-START_TEST(bad_chunks_are_refused)
+START_TEST(invalid_chunks_are_rejected)
 {
     blocks_t *blocks = blocks_new();
     err_t err = {0};
@@ -84,7 +84,7 @@
 }
 END_TEST
 
-START_TEST(client_addresses)
+START_TEST(client_address_parsing)
 {
     client_addr_t addr;
     ck_assert(client_addr_parse(STR("10.1.2.3"), &addr));
@@ -119,10 +119,10 @@
     for (size_t r = 0; r < 3; r++) {
         double sum = 0;
         for (size_t a = 0; a < 3; a++)
-            sum += plan->part[a * 3 + r] / 3;
+            sum += plan->fraction[a * 3 + r] / 3;
         ck_assert(fabs(sum * 100 - shares[r]) < 0.5);
     }
-    ck_assert(plan->part[0] > 0.95); /* r1's clients stay in r1: its share has room for them */
+    ck_assert(plan->fraction[0] > 0.95); /* r1's clients stay in r1: its share has room for them */
     size_t counts[3] = {0};
     for (uint64_t key = 0; key < 30000; key++)
         counts[steer_plan_pick(plan, table, key % 3, key * 7919, NULL)]++;
@@ -134,7 +134,7 @@
 }
 END_TEST
 
-START_TEST(a_small_step_moves_few_blocks)
+START_TEST(small_share_change_moves_few_blocks)
 {
     err_t err = {0};
     topology_t *topology = topology_parse(str_from(topology_json), &err);
@@ -157,14 +157,14 @@
 }
 END_TEST
 
-START_TEST(spill_keeps_the_cap)
+START_TEST(spill_stays_within_cap)
 {
     spill_t *spill = spill_new(1);
     double per_second[200] = {0};
     for (uint64_t s = 0; s < 200; s++) {
         for (size_t i = 0; i < 200; i++) {
             const uint64_t now = 1000000 + s * 1000 + i * 5;
-            spill_count(spill, now);
+            spill_record_decision(spill, now);
             per_second[s] += spill_take(spill, 0, 8, 0, now) ? 0.5 : 0;
         }
     }
@@ -191,12 +191,12 @@
 {
     Suite *suite = suite_create("lookup");
     TCase *tcase = tcase_create("lookup");
-    tcase_add_loop_test(tcase, blocks_agree_with_a_linear_search, 0, 2);
-    tcase_add_test(tcase, bad_chunks_are_refused);
-    tcase_add_test(tcase, client_addresses);
+    tcase_add_loop_test(tcase, blocks_match_linear_search, 0, 2);
+    tcase_add_test(tcase, invalid_chunks_are_rejected);
+    tcase_add_test(tcase, client_address_parsing);
     tcase_add_test(tcase, plan_keeps_shares_and_prefers_near_places);
-    tcase_add_test(tcase, a_small_step_moves_few_blocks);
-    tcase_add_test(tcase, spill_keeps_the_cap);
+    tcase_add_test(tcase, small_share_change_moves_few_blocks);
+    tcase_add_test(tcase, spill_stays_within_cap);
     suite_add_tcase(suite, tcase);
     return suite;
 }
