--- a/entry/lookup/blocks.c
+++ b/entry/lookup/blocks.c
@@ -21,7 +21,7 @@
     uint32_t chunk_count;
     uint32_t present;
     chunk_t *chunks;
-    uint64_t *first_starts; /* first start of each chunk */
+    uint64_t *first_starts;
     size_t block_count;
     size_t per_area[BLOCKS_NO_AREA + 1];
 } set_t;
@@ -224,7 +224,7 @@
     return ok;
 }
 
-/* Index of the last of `n` ascending values that is not above `key`; 0 if all are. */
+/* Index of the last of `n` ascending values that is at most `key`; 0 if there is none. */
 static size_t
 floor_index32(const uint32_t *values, size_t n, uint32_t key)
 {
--- a/entry/lookup/plan.c
+++ b/entry/lookup/plan.c
@@ -4,13 +4,12 @@
 #include "base/xmalloc.h"
 #include "entry/lookup/plan.h"
 
-/* A place this much farther from an area gets 1/e of the weight to start with. Chosen, as are the
- * rounds: docs/design/entry/shifts.md. */
+/* The initial weight of a place falls by a factor of e for each such step of delay. */
 #define DELAY_SCALE_MS 10.0
-/* Added to each weight; sums up to it count as 0. */
+/* Added to each weight; sums up to this value count as zero. */
 #define EPSILON 1e-12
 
-enum { FITTING_ITERATIONS = 40 }; /* of fitting rows and columns in turn */
+enum { FITTING_ITERATIONS = 40 }; /* rows and columns are scaled once in each */
 
 static void
 scale_columns(steer_plan_t *plan, const double *shares)
@@ -39,7 +38,7 @@
     }
 }
 
-/* Turns shares of all clients into shares of each area's own clients. */
+/* Converts fractions of all clients to fractions of the clients of each area. */
 static void
 normalize(steer_plan_t *plan, const double *shares)
 {
--- a/entry/lookup/spill.c
+++ b/entry/lookup/spill.c
@@ -9,11 +9,11 @@
 enum { MS_PER_S = 1000 };
 
 struct spill {
-    uint64_t second; /* of the newest slot */
+    uint64_t second; /* the newest slot, in seconds */
     size_t rows;
     uint32_t total[SPILL_SLOTS];
     uint32_t *spilled; /* rows x SPILL_SLOTS */
-    float *percent;    /* rows x SPILL_SLOTS: points over SPILL_RECENT_S up to each second */
+    float *percent;    /* rows x SPILL_SLOTS: share over SPILL_RECENT_S up to each second */
 };
 
 spill_t *
@@ -61,7 +61,7 @@
     return sum;
 }
 
-/* Closes the newest second: notes each row's percent; opens the next one. */
+/* Stores the percentage of each row for the current second and clears the next slot. */
 static void
 advance_one_second(spill_t *spill)
 {
@@ -121,7 +121,7 @@
     const double after = (double)(recent_spilled(spill, row) + 1) * POINTS;
     if (allowed <= 0 || after > allowed * (double)recent_total(spill))
         return false;
-    /* Not all at once either: within this second it keeps to the same percent. */
+    /* Spread the spill within the second: apply the same percentage to this slot alone. */
     const size_t slot = slot_of(spill->second);
     uint32_t *spilled = &spill->spilled[row * SPILL_SLOTS + slot];
     if (*spilled * POINTS > allowed * spill->total[slot])
--- a/entry/lookup/spill.h
+++ b/entry/lookup/spill.h
@@ -1,11 +1,11 @@
 /*
- * Traffic sent to a place beyond its share: because another place is full, lost or has no
- * servers. It counts against the place's shift cap together with what the ramp moves there.
+ * Limits spill: traffic sent to a place beyond its share because another place is full, lost or has
+ * no servers. Spill counts against the place's cap together with the rise of its ramp.
  *
- * The part of the traffic that goes to a row this way may be at most the least such part of the
- * last minute plus the cap, so a failover moves at once what the cap allows and goes on from
- * there a minute later. Each instance keeps to this for the traffic it decides on, so all of
- * them together do. Pure.
+ * The percentage of traffic that spills to a row may exceed its minimum over the last minute by at
+ * most the cap, so a failover moves traffic up to the cap at once and continues a minute later.
+ * Each instance applies the limit to its own decisions, so it also holds for all of them together.
+ * Performs no I/O.
  */
 #pragma once
 
@@ -14,8 +14,8 @@
 #include <stdint.h>
 
 enum {
-    SPILL_WINDOW_S = 65, /* the cap's minute and the life of look-up answers */
-    SPILL_RECENT_S = 5,  /* the present part is measured over this time */
+    SPILL_WINDOW_S = 65, /* the minute of the cap plus the lifetime of look-up answers */
+    SPILL_RECENT_S = 5,  /* the current percentage is measured over this time */
     SPILL_SLOTS = SPILL_WINDOW_S + SPILL_RECENT_S,
 };
 
@@ -23,7 +23,7 @@
 
 spill_t *spill_new(size_t rows);
 void spill_free(spill_t *spill);
-/* One decision about the service's traffic was made. */
+/* Counts one steering decision of the service. */
 void spill_record_decision(spill_t *spill, uint64_t now_ms);
-/* Moves one request to `row` if the cap allows; `cap` and `ramp_rise` are points a minute. */
+/* Spills one request to `row` if allowed; `cap` and `ramp_rise` are in points per minute. */
 bool spill_take(spill_t *spill, size_t row, double cap, double ramp_rise, uint64_t now_ms);
--- a/entry/lookup/steer.c
+++ b/entry/lookup/steer.c
@@ -5,7 +5,7 @@
 #include "entry/lookup/steer.h"
 #include "entry/table/ramp.h"
 
-enum { BLOCK_BITS_V4 = 8 }; /* addresses of one /24 stay together */
+enum { BLOCK_BITS_V4 = 8 }; /* addresses of a /24 are steered together */
 
 steer_t *
 steer_new(void)
@@ -138,7 +138,7 @@
     return str_hash(name_str(&service->table->service), block);
 }
 
-/* A client outside all known blocks is treated as one of a fixed, hashed area. */
+/* Clients outside all known blocks are assigned to an area by hash. */
 static size_t
 area_of(const steer_t *steer, const client_addr_t *client, uint64_t key)
 {
@@ -148,7 +148,7 @@
     return (size_t)(key % steer->topology->region_count);
 }
 
-/* The part of the cap that the ramp has used in the last minute is not there for spill. */
+/* The rise of the ramp in the last minute reduces the cap that is left for spill. */
 static bool
 take_spill(const service_t *service, spill_t *spill, size_t row, uint64_t now_ms)
 {
--- a/entry/lookup/steer.h
+++ b/entry/lookup/steer.h
@@ -1,8 +1,8 @@
 /*
- * Steering: the tables in force and, for each service, the shares and the plan of this moment.
+ * Steering: the active tables with the current shares and plan of each service.
  *
- * Everything is computed from (objects, wall time) alone, so instances that hold the same objects
- * decide alike. Pure.
+ * Results depend only on the stored objects and wall time, so instances with the same objects reach
+ * the same decisions. Performs no I/O.
  */
 #pragma once
 
@@ -16,27 +16,27 @@
 #include "entry/lookup/topology.h"
 #include "entry/table/table.h"
 
-/* Half of a row's cap is for look-ups, half for requests, so that both keep it together. */
+/* Look-ups and requests each get half of a row's cap, so that together they stay within it. */
 #define STEER_CAP_FRACTION 0.5
 
 enum {
-    /* Between plans while a shift runs; docs/CAPACITY.md has their cost. Chosen, not measured. */
+    /* interval between plans during a shift */
     STEER_REFRESH_MS = 200,
-    STEER_SERVICES_MAX = 256, /* services with a table. Chosen, not measured */
+    STEER_SERVICES_MAX = 256, /* services with a table */
 };
 
 typedef struct {
     table_t *table;
-    double *shares;  /* points per row, now */
-    double *rises;   /* points each row gained by the ramp in the last minute */
-    size_t *regions; /* region of each row's place, SIZE_MAX if the topology lacks it */
+    double *shares;  /* current points per row */
+    double *rises;   /* points each row gained by its ramp in the last minute */
+    size_t *regions; /* region index of each row's place, SIZE_MAX if unknown to the topology */
     steer_plan_t *plan;
-    spill_t *lookup_spill;    /* look-ups answered beyond the shares; half of each cap */
-    spill_t *request_spill;   /* requests sent on beyond the shares; the other half */
-    uint8_t *skip;            /* rows that cannot serve now, kept by the entry */
-    uint64_t skip_updated_ms; /* steady time of `skip`, 0: never */
-    uint64_t computed_ms;     /* wall */
-    bool settled;             /* the ramp is over and the plan is final */
+    spill_t *lookup_spill;    /* look-ups beyond the shares, up to half of each cap */
+    spill_t *request_spill;   /* requests beyond the shares, up to the other half */
+    uint8_t *skip;            /* rows that cannot serve now, updated by the caller */
+    uint64_t skip_updated_ms; /* monotonic time of the last update of `skip`, 0: never */
+    uint64_t computed_ms;     /* wall time */
+    bool settled;             /* the ramp has ended and the plan is final */
 } service_t;
 
 typedef struct {
@@ -47,25 +47,24 @@
 } steer_t;
 
 steer_t *steer_new(void);
-/* Takes ownership of what is passed. */
+/* Takes ownership of `table`; false if there are too many services. */
 bool steer_set_table(steer_t *steer, table_t *table);
 void steer_set_topology(steer_t *steer, topology_t *topology);
 void steer_blocks_changed(steer_t *steer);
 
 service_t *steer_find(const steer_t *steer, str_t service);
-/* Brings shares and plan up to `wall_ms`; false if no topology is known yet. */
+/* Updates shares and plan to `wall_ms`; false if no topology is known. */
 bool steer_refresh(const steer_t *steer, service_t *service, uint64_t wall_ms);
 
 typedef struct {
-    size_t row;  /* SIZE_MAX if no place may be used */
-    bool moved;  /* not the place of its share: counted against the cap */
-    bool capped; /* a place was there, but its cap is used up */
+    size_t row;  /* SIZE_MAX if no place is available */
+    bool moved;  /* another place than its share selects; counts against the cap */
+    bool capped; /* a place was available, but its cap is used up */
 } steer_choice_t;
 
-/* True if a request may go to that row beyond its share, which then counts against the row's cap.
- */
+/* Spills a request to `row` beyond its share if the row's cap allows it. */
 bool steer_take_request_spill(const service_t *service, size_t row, uint64_t now_ms);
 
-/* The place for a client; `skip` marks rows that cannot serve. */
+/* Selects the place for a client; `skip` marks rows that cannot serve. */
 steer_choice_t steer_choose(const steer_t *steer, service_t *service, const client_addr_t *client,
                             const uint8_t *skip, uint64_t now_ms);
--- a/entry/lookup/topology.h
+++ b/entry/lookup/topology.h
@@ -1,4 +1,4 @@
-/* Regions, their places and the one-way delays between regions. */
+/* Topology: regions, their places and the one-way delays between regions. */
 #pragma once
 
 #include <stddef.h>
@@ -7,12 +7,11 @@
 #include "base/error.h"
 #include "base/str.h"
 
-/* Chosen above the size to design for, 26 regions and 54 data halls (docs/CAPACITY.md). */
 enum { TOPOLOGY_REGIONS_MAX = 64, TOPOLOGY_PLACES_MAX = 512 };
 
 typedef struct {
     name_t name;
-    size_t region; /* index */
+    size_t region; /* index into `regions` */
 } place_t;
 
 typedef struct {
@@ -24,10 +23,10 @@
 } topology_t;
 
 /*
- * Parses {"regions":[{"name","places":[...],"delay_ms":{"<region>":ms}}]}; a delay that is not
- * given either way is TOPOLOGY_DEFAULT_DELAY_MS. NULL on error.
+ * Parses {"regions":[{"name","places":[...],"delay_ms":{"<region>":ms}}]}. A delay that is missing
+ * in both directions defaults to TOPOLOGY_DEFAULT_DELAY_MS. Returns NULL on error.
  */
 topology_t *topology_parse(str_t json, err_t *err);
-/* Index, or SIZE_MAX. */
+/* Both return an index, or SIZE_MAX if there is none of that name. */
 size_t topology_region(const topology_t *topology, str_t name);
 size_t topology_place(const topology_t *topology, str_t name);
--- a/test/test_lookup.c
+++ b/test/test_lookup.c
@@ -1,4 +1,4 @@
-/* Client blocks, the steering plan and the spill window. */
+/* Client blocks, the steering plan and the spill limit. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -51,7 +51,7 @@
     }
     blocks_t *blocks = blocks_new();
     add_set(blocks, family, 1, starts, areas, BLOCKS / CHUNK - 1);
-    ck_assert_uint_eq(blocks_count(blocks), 0); /* not in use before it is whole */
+    ck_assert_uint_eq(blocks_count(blocks), 0); /* inactive until complete */
     add_set(blocks, family, 1, starts, areas, BLOCKS / CHUNK);
     ck_assert_uint_eq(blocks_count(blocks), BLOCKS);
     for (size_t i = 0; i < 3000; i++) {
@@ -122,7 +122,7 @@
             sum += plan->fraction[a * 3 + r] / 3;
         ck_assert(fabs(sum * 100 - shares[r]) < 0.5);
     }
-    ck_assert(plan->fraction[0] > 0.95); /* r1's clients stay in r1: its share has room for them */
+    ck_assert(plan->fraction[0] > 0.95); /* r1's share holds all of its clients */
     size_t counts[3] = {0};
     for (uint64_t key = 0; key < 30000; key++)
         counts[steer_plan_pick(plan, table, key % 3, key * 7919, NULL)]++;
@@ -168,8 +168,8 @@
             per_second[s] += spill_take(spill, 0, 8, 0, now) ? 0.5 : 0;
         }
     }
-    ck_assert(per_second[20] > 6 && per_second[20] <= 8.5); /* a cap's worth at once ... */
-    ck_assert(per_second[199] > 15);                        /* ... and more in later minutes */
+    ck_assert(per_second[20] > 6 && per_second[20] <= 8.5); /* up to the cap at once */
+    ck_assert(per_second[199] > 15);                        /* more in later minutes */
     for (size_t s = 6; s + 5 < 200; s++) {
         for (size_t later = s + 1; later <= s + 60 && later + 5 < 200; later++) {
             double early = 0;
