--- a/entry/lookup/blocks.c
+++ b/entry/lookup/blocks.c
@@ -133,7 +133,7 @@
         else
             chunk->starts6[i] = le64toh(chunk->starts6[i]);
         if (i > 0 && start_at(chunk, i) <= start_at(chunk, i - 1)) {
-            err_set(err, ERR_INVALID, "block chunk: starts do not ascend at %zu", i);
+            err_set(err, ERR_INVALID, "block chunk: start %zu is not in ascending order", i);
             return false;
         }
     }
@@ -195,7 +195,7 @@
     Iris__BlockChunk *message =
         iris__block_chunk__unpack(NULL, bytes.len, (const uint8_t *)bytes.ptr);
     if (message == NULL) {
-        err_set(err, ERR_PARSE, "block chunk: malformed");
+        err_set(err, ERR_PARSE, "block chunk: invalid encoding");
         return false;
     }
     bool ok = check_chunk(message, err);
--- a/entry/lookup/topology.c
+++ b/entry/lookup/topology.c
@@ -20,7 +20,7 @@
         if (topology->place_count == TOPOLOGY_PLACES_MAX || name == NULL ||
             topology_place(topology, str_from(name)) != SIZE_MAX ||
             !name_set(&topology->places[topology->place_count].name, str_from(name))) {
-            err_set(err, ERR_INVALID, "place %zu of region %s is not valid or stands twice", i,
+            err_set(err, ERR_INVALID, "place %zu of region %s is invalid or listed twice", i,
                     topology->regions[region].ptr);
             return false;
         }
@@ -39,7 +39,7 @@
         const char *name = json_string_value(json_object_get(item, "name"));
         if (i == TOPOLOGY_REGIONS_MAX || name == NULL ||
             !name_set(&topology->regions[i], str_from(name))) {
-            err_set(err, ERR_INVALID, "region %zu has no valid name, or there are too many", i);
+            err_set(err, ERR_INVALID, "region %zu has an invalid name or exceeds the maximum", i);
             return false;
         }
         topology->region_count++;
