--- a/ctl/commit.c
+++ b/ctl/commit.c
@@ -64,7 +64,7 @@
     if (applied != EDIT_APPLIED) {
         table_free(table);
         *version = read_version;
-        *result = applied == EDIT_ALREADY ? COMMIT_APPLIED : COMMIT_REFUSED;
+        *result = applied == EDIT_ALREADY_APPLIED ? COMMIT_APPLIED : COMMIT_REFUSED;
         return true;
     }
     char *text = table_format(table);
--- a/entry/table/edit.c
+++ b/entry/table/edit.c
@@ -156,7 +156,7 @@
 }
 
 static bool
-moves_traffic(const change_t *change)
+affects_shares(const change_t *change)
 {
     return change->kind == CHANGE_CELL &&
            (change->column == COLUMN_WEIGHT || change->column == COLUMN_CAP ||
@@ -206,21 +206,21 @@
 static void
 swap_tables(table_t *a, table_t *b)
 {
-    const table_t kept = *a;
+    const table_t tmp = *a;
     *a = *b;
-    *b = kept;
+    *b = tmp;
 }
 
 edit_result_t
 edit_apply(const edit_t *edit, table_t *table, uint64_t wall_ms, err_t *err)
 {
     if (table_has_edit(table, name_str(&edit->id)))
-        return EDIT_ALREADY;
+        return EDIT_ALREADY_APPLIED;
     table_t *work = table_copy(table);
-    bool moves = false;
+    bool rebase = false;
     for (size_t i = 0; i < edit->count; i++)
-        moves = moves || moves_traffic(&edit->changes[i]);
-    if (moves)
+        rebase = rebase || affects_shares(&edit->changes[i]);
+    if (rebase)
         ramp_rebase(work, wall_ms);
     bool ok = true;
     for (size_t i = 0; ok && i < edit->count; i++)
--- a/entry/table/edit.h
+++ b/entry/table/edit.h
@@ -42,8 +42,8 @@
 
 typedef enum {
     EDIT_APPLIED,
-    EDIT_ALREADY, /* the table already holds this edit */
-    EDIT_REFUSED, /* another operator changed a cell, or the result breaks a rule */
+    EDIT_ALREADY_APPLIED, /* the table already holds this edit */
+    EDIT_REFUSED,         /* another operator changed a cell, or the result breaks a rule */
 } edit_result_t;
 
 const char *column_name(column_t column);
--- a/entry/table/table.c
+++ b/entry/table/table.c
@@ -148,9 +148,9 @@
 void
 table_remember_edit(table_t *table, const name_t *edit_id)
 {
-    if (table->edit_count == TABLE_EDITS_KEPT) {
+    if (table->edit_count == TABLE_EDITS_MAX) {
         memmove(&table->edits[0], &table->edits[1],
-                (TABLE_EDITS_KEPT - 1) * sizeof(table->edits[0]));
+                (TABLE_EDITS_MAX - 1) * sizeof(table->edits[0]));
         table->edit_count--;
     }
     table->edits[table->edit_count++] = *edit_id;
--- a/entry/table/table.h
+++ b/entry/table/table.h
@@ -18,7 +18,7 @@
     TABLE_ROWS_MAX = 512, /* the size to design for has at most 210 (docs/CAPACITY.md) */
     TABLE_CLASSES_MAX = 32,
     TABLE_DRAINING_MAX = 1024,
-    TABLE_EDITS_KEPT = 32, /* docs/TABLE.md */
+    TABLE_EDITS_MAX = 32, /* docs/TABLE.md */
 };
 
 #define TABLE_POINTS 100.0 /* shares of all rows together */
@@ -58,7 +58,7 @@
     size_t class_count;
     name_t *draining; /* backend servers marked as leaving */
     size_t draining_count;
-    name_t edits[TABLE_EDITS_KEPT]; /* ids of the latest edits, newest last */
+    name_t edits[TABLE_EDITS_MAX]; /* ids of the latest edits, newest last */
     size_t edit_count;
 } table_t;
 
--- a/entry/table/table_json.c
+++ b/entry/table/table_json.c
@@ -110,7 +110,7 @@
     json_t *item;
     if (json_array_size(rows) > TABLE_ROWS_MAX || json_array_size(classes) > TABLE_CLASSES_MAX ||
         json_array_size(draining) > TABLE_DRAINING_MAX ||
-        json_array_size(edits) > TABLE_EDITS_KEPT) {
+        json_array_size(edits) > TABLE_EDITS_MAX) {
         err_set(err, ERR_TOO_LARGE, "too many rows, classes, draining marks or edit ids");
         return false;
     }
--- a/test/test_table.c
+++ b/test/test_table.c
@@ -58,7 +58,7 @@
     "{\"schema\":1,\"service\":\"s\",\"rows\":[{\"place\":\"a\",\"weight\":1}],\"classes\":[]}",
 };
 
-START_TEST(bad_tables_are_refused)
+START_TEST(invalid_tables_are_rejected)
 {
     err_t err = {0};
     ck_assert_ptr_null(table_parse(str_from(bad_tables[_i]), &err));
@@ -67,7 +67,7 @@
 }
 END_TEST
 
-START_TEST(stored_form_reads_back)
+START_TEST(stored_form_round_trips)
 {
     table_t *table = parse(two_rows);
     char *text = table_format(table);
@@ -127,7 +127,7 @@
 }
 END_TEST
 
-START_TEST(cap_test_fails_without_the_rule)
+START_TEST(cap_test_detects_disabled_cap)
 {
     mutate_set(MUTATE_NO_CAP);
     const double rise = rise_with_random_edits(1);
@@ -154,7 +154,7 @@
 }
 END_TEST
 
-START_TEST(cap_of_zero_holds_for_ever)
+START_TEST(zero_cap_never_changes_shares)
 {
     err_t err = {0};
     table_t *table = parse(two_rows);
@@ -185,7 +185,7 @@
 }
 END_TEST
 
-START_TEST(edits_of_the_same_cell_are_refused_with_both_values)
+START_TEST(conflicting_edits_report_both_values)
 {
     err_t err = {0};
     table_t *table = parse(two_rows);
@@ -203,19 +203,19 @@
 }
 END_TEST
 
-START_TEST(an_edit_is_applied_once)
+START_TEST(edit_is_applied_once)
 {
     err_t err = {0};
     table_t *table = parse(two_rows);
     edit_t *edit = cell_edit("e1", table, "a", "weight=50");
     ck_assert_int_eq(edit_apply(edit, table, 1000, &err), EDIT_APPLIED);
-    ck_assert_int_eq(edit_apply(edit, table, 1000, &err), EDIT_ALREADY);
+    ck_assert_int_eq(edit_apply(edit, table, 1000, &err), EDIT_ALREADY_APPLIED);
     edit_free(edit);
     table_free(table);
 }
 END_TEST
 
-START_TEST(an_edit_that_breaks_a_rule_changes_nothing)
+START_TEST(invalid_edit_changes_nothing)
 {
     err_t err = {0};
     table_t *table = parse(two_rows);
@@ -235,16 +235,16 @@
     Suite *suite = suite_create("table");
     TCase *tcase = tcase_create("table");
     tcase_set_timeout(tcase, 60);
-    tcase_add_loop_test(tcase, bad_tables_are_refused, 0, (int)ALEN(bad_tables));
-    tcase_add_test(tcase, stored_form_reads_back);
+    tcase_add_loop_test(tcase, invalid_tables_are_rejected, 0, (int)ALEN(bad_tables));
+    tcase_add_test(tcase, stored_form_round_trips);
     tcase_add_loop_test(tcase, cap_holds_with_edits_in_mid_ramp, 0, 20);
-    tcase_add_test(tcase, cap_test_fails_without_the_rule);
+    tcase_add_test(tcase, cap_test_detects_disabled_cap);
     tcase_add_test(tcase, ramp_reaches_its_target_in_time);
-    tcase_add_test(tcase, cap_of_zero_holds_for_ever);
+    tcase_add_test(tcase, zero_cap_never_changes_shares);
     tcase_add_test(tcase, edits_of_other_cells_merge);
-    tcase_add_test(tcase, edits_of_the_same_cell_are_refused_with_both_values);
-    tcase_add_test(tcase, an_edit_is_applied_once);
-    tcase_add_test(tcase, an_edit_that_breaks_a_rule_changes_nothing);
+    tcase_add_test(tcase, conflicting_edits_report_both_values);
+    tcase_add_test(tcase, edit_is_applied_once);
+    tcase_add_test(tcase, invalid_edit_changes_nothing);
     suite_add_tcase(suite, tcase);
     return suite;
 }
