--- a/entry/table/ramp.c
+++ b/entry/table/ramp.c
@@ -4,7 +4,7 @@
 #include "base/xmalloc.h"
 #include "entry/table/ramp.h"
 
-#define EPSILON_POINTS 1e-9 /* smaller rises come from rounding */
+#define EPSILON_POINTS 1e-9 /* smaller rises are rounding errors */
 
 void
 ramp_targets(const table_t *table, double *shares)
@@ -28,7 +28,7 @@
     return sum;
 }
 
-/* Length of the ramp in ms, below zero if it never ends. */
+/* Duration of the ramp in ms; negative if it never ends. */
 static double
 duration_ms(const table_t *table, const double *targets, double sum)
 {
--- a/entry/table/table_json.c
+++ b/entry/table/table_json.c
@@ -7,9 +7,9 @@
 
 enum {
     SCHEMA = 1,
-    DEADLINE_MAX_MS = 3600 * 1000, /* of a class. Chosen, not measured */
-    LIMIT_MAX = 1000000,           /* of a row's limit and rate: docs/TABLE.md */
-    PRIORITY_MAX = 9,              /* of a class. Chosen, not measured */
+    DEADLINE_MAX_MS = 3600 * 1000, /* per class */
+    LIMIT_MAX = 1000000,           /* of a row's limit and rate */
+    PRIORITY_MAX = 9,              /* per class */
 };
 
 static bool
--- a/test/test_table.c
+++ b/test/test_table.c
@@ -1,4 +1,4 @@
-/* The table: parsing, ramps under their caps, edits of racing operators. */
+/* Tables: parsing, ramps within their caps, concurrent edits. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -144,7 +144,7 @@
     edit_t *edit = cell_edit("e1", table, "b", "weight=80");
     ck_assert_int_eq(edit_apply(edit, table, 1000000, &err), EDIT_APPLIED);
     ramp_shares(table, 1000000 + RAMP_LEAD_MS, shares);
-    ck_assert(fabs(shares[1] - 20) < 1e-9); /* every place has the object first */
+    ck_assert(fabs(shares[1] - 20) < 1e-9); /* lead time: the shares have not moved yet */
     const uint64_t end = ramp_end_ms(table);
     ramp_shares(table, end, shares);
     ck_assert(fabs(shares[1] - 50) < 1e-3);
