--- a/entry/table/edit.c
+++ b/entry/table/edit.c
@@ -191,7 +191,8 @@
         return apply_cell(change, table, err);
     case CHANGE_DRAIN:
         if (table->draining_count >= TABLE_DRAINING_MAX) {
-            err_set(err, ERR_TOO_LARGE, "more than %d draining marks", TABLE_DRAINING_MAX);
+            err_set(err, ERR_TOO_LARGE, "more than %d draining backend servers",
+                    TABLE_DRAINING_MAX);
             return false;
         }
         table_add_draining(table, &change->name);
--- a/entry/table/table.c
+++ b/entry/table/table.c
@@ -76,7 +76,7 @@
     }
     for (size_t i = 0; i < index; i++) {
         if (name_eq(&table->rows[i].place, name_str(&row->place))) {
-            err_set(err, ERR_INVALID, "row %s: stands twice", row->place.ptr);
+            err_set(err, ERR_INVALID, "row %s: listed twice", row->place.ptr);
             return false;
         }
     }
@@ -93,12 +93,13 @@
         steered = steered || (table->rows[i].weight > 0 && table->rows[i].state == ROW_STEERED);
     }
     if (!steered) {
-        err_set(err, ERR_INVALID, "service %s: no row takes traffic (weight above 0, steered)",
+        err_set(err, ERR_INVALID,
+                "service %s: no row takes traffic: one must be steered with weight above 0",
                 table->service.ptr);
         return false;
     }
     if (table->class_count == 0) {
-        err_set(err, ERR_INVALID, "service %s: no request class", table->service.ptr);
+        err_set(err, ERR_INVALID, "service %s: no request classes", table->service.ptr);
         return false;
     }
     return true;
--- a/entry/table/table_json.c
+++ b/entry/table/table_json.c
@@ -32,7 +32,7 @@
         return false;
     }
     if (limit < 0 || limit > LIMIT_MAX || rate < 0 || rate > LIMIT_MAX) {
-        err_set(err, ERR_INVALID, "row %s: limit and rate are 0 to %d", place, LIMIT_MAX);
+        err_set(err, ERR_INVALID, "row %s: limit and rate must be 0 to %d", place, LIMIT_MAX);
         return false;
     }
     if (!row_state_parse(state, &row->state)) {
@@ -74,7 +74,7 @@
         return false;
     }
     if (deadline < 1 || deadline > DEADLINE_MAX_MS || priority < 0 || priority > PRIORITY_MAX) {
-        err_set(err, ERR_INVALID, "class %s: deadline_ms is 1 to %d, priority 0 to 9", name,
+        err_set(err, ERR_INVALID, "class %s: deadline_ms must be 1 to %d, priority 0 to 9", name,
                 DEADLINE_MAX_MS);
         return false;
     }
@@ -111,7 +111,7 @@
     if (json_array_size(rows) > TABLE_ROWS_MAX || json_array_size(classes) > TABLE_CLASSES_MAX ||
         json_array_size(draining) > TABLE_DRAINING_MAX ||
         json_array_size(edits) > TABLE_EDITS_MAX) {
-        err_set(err, ERR_TOO_LARGE, "too many rows, classes, draining marks or edit ids");
+        err_set(err, ERR_TOO_LARGE, "too many rows, classes, draining backend servers or edit ids");
         return false;
     }
     table->rows = xcalloc(json_array_size(rows), sizeof(*table->rows));
@@ -218,6 +218,6 @@
     char *text = json_dumps(root, JSON_INDENT(1) | JSON_REAL_PRECISION(12));
     json_decref(root);
     if (text == NULL)
-        BUG("table has no stored form");
+        BUG("table cannot be serialized");
     return text;
 }
