--- a/bin/slopes.c
+++ b/bin/slopes.c
@@ -299,7 +299,7 @@
 static void
 measure_keys(size_t count)
 {
-    key_book_t *book = key_book_new();
+    key_registry_t *book = key_registry_new();
     rng_t rng = {.state = 1};
     name_t name;
     name_set(&name, STR("sandusky-hall-entry-17"));
@@ -308,11 +308,11 @@
     for (size_t i = 0; i < count; i++) {
         char text[KEY_TEXT_MAX];
         key_mint(&name, 1, 1000, &rng, text);
-        key_book_add(book, str_from(text), 1, 1000);
+        key_registry_add(book, str_from(text), 1, 1000);
     }
     report("keys", count, "mint_and_add", (now_s() - start) / (double)count * 1e9, "ns");
     report("keys", count, "memory", (double)(heap_bytes() - before) / (double)count, "B/key");
-    key_book_free(book);
+    key_registry_free(book);
 }
 
 static void
--- a/entry/control.c
+++ b/entry/control.c
@@ -119,7 +119,7 @@
         gossip_sync_seeds(node);
     plan_credits(node);
     probe_round(node);
-    key_book_sweep(node->keys, node_now(node));
+    key_registry_sweep(node->keys, node_now(node));
     update_gauges(node);
     history_flush(&node->history);
     history_flush(&node->spans);
--- a/entry/node.c
+++ b/entry/node.c
@@ -295,8 +295,8 @@
     node->planner = planner_new();
     limiter_init(&node->gate, node->credit, node_now(node));
     node->steer = steer_new();
-    node->keys = key_book_new();
-    extra_budget_init(&node->extra);
+    node->keys = key_registry_new();
+    attempt_budget_init(&node->extra);
     if (!start_servers(node, err))
         return false;
     node->follower = store_follow(node);
--- a/entry/node_state.h
+++ b/entry/node_state.h
@@ -102,8 +102,8 @@
     backends_t backends;
     steer_t *steer;
     region_entries_t region_entries[TOPOLOGY_REGIONS_MAX];
-    key_book_t *keys;
-    extra_budget_t extra;
+    key_registry_t *keys;
+    attempt_budget_t extra;
     uint64_t turn; /* of round robin */
 
     exchange_t *waiting; /* admitted or not, without a backend server yet; most urgent first */
--- a/entry/path/answer.c
+++ b/entry/path/answer.c
@@ -45,7 +45,7 @@
 answer_refuse(exchange_t *x, int status, const char *error)
 {
     counter_add(x->node->counters.refused, 1);
-    exchange_set_record(x, KEY_FREE, 0);
+    exchange_set_record(x, KEY_NOT_RUN, 0);
     answer_error(x, status, error, OUTCOME_NOT_RUN);
 }
 
--- a/entry/path/arrival.c
+++ b/entry/path/arrival.c
@@ -152,7 +152,7 @@
 {
     exchange_t *x = new_exchange(node, req);
     counter_add(node->counters.requests, 1);
-    extra_budget_earn(&node->extra);
+    attempt_budget_deposit(&node->extra);
     const str_t key = http_header(req, STR("idempotency-key"));
     const str_t name = service_of(req);
     service_t *service = steer_find(node->steer, name);
--- a/entry/path/claims.c
+++ b/entry/path/claims.c
@@ -95,7 +95,7 @@
     key_record_t *record = x->record;
     x->record = NULL;
     if (record != NULL)
-        key_book_remove(x->node->keys, record);
+        key_registry_remove(x->node->keys, record);
 }
 
 static void send_claim(claim_t *claim);
@@ -243,7 +243,7 @@
     case KEY_UNKNOWN:
         answer_unknown(x, 502, "outcome_unknown");
         return;
-    case KEY_FREE:
+    case KEY_NOT_RUN:
         if (record->claimed)
             run(x, record);
         else
@@ -270,7 +270,7 @@
         return;
     }
     key_record_t *record =
-        key_book_add(node->keys, str_from(x->key), fingerprint(x), node_now(node));
+        key_registry_add(node->keys, str_from(x->key), fingerprint(x), node_now(node));
     if (record == NULL)
         answer_refuse(x, 503, "too_many_keys");
     else
@@ -298,13 +298,13 @@
         return;
     }
     memcpy(x->key, key.ptr, key.len);
-    key_record_t *record = key_book_find(node->keys, key);
+    key_record_t *record = key_registry_find(node->keys, key);
     if (record != NULL) {
         answer_from_record(x, record);
     } else if (key_parse_minted(key, &minted)) {
         resolve_minted(x, &minted);
     } else {
-        record = key_book_add(node->keys, key, fingerprint(x), node_now(node));
+        record = key_registry_add(node->keys, key, fingerprint(x), node_now(node));
         if (record == NULL)
             answer_refuse(x, 503, "too_many_keys");
         else
--- a/entry/path/outcome.c
+++ b/entry/path/outcome.c
@@ -36,7 +36,7 @@
         cancel_attempts(x, NULL);
         x->winner = NULL;
         if (x->record != NULL)
-            exchange_set_record(x, x->may_have_run ? KEY_UNKNOWN : KEY_FREE, 0);
+            exchange_set_record(x, x->may_have_run ? KEY_UNKNOWN : KEY_NOT_RUN, 0);
         waiting_remove(x);
     } else if (x->winner != NULL) {
         attempt_resume(x->winner);
@@ -153,7 +153,7 @@
     if (x->winner != NULL || exchange_has_attempts(x))
         return;
     x->tried = attempt_backend(attempt);
-    if (may_retry(x, result) && extra_budget_spend(&node->extra)) {
+    if (may_retry(x, result) && attempt_budget_withdraw(&node->extra)) {
         counter_add(node->counters.retries, 1);
         route_request(x);
     } else {
--- a/entry/path/route.c
+++ b/entry/path/route.c
@@ -108,7 +108,7 @@
     service_t *service = current_service(x);
     x->hedged = true;
     x->tried = attempt_backend(x->attempts[0]);
-    if (service == NULL || !extra_budget_spend(&node->extra))
+    if (service == NULL || !attempt_budget_withdraw(&node->extra))
         return;
     if (local_try(x, service))
         counter_add(node->counters.hedges, 1);
--- a/entry/request/budget.h
+++ b/entry/request/budget.h
@@ -8,9 +8,9 @@
 
 typedef struct {
     double tokens;
-} extra_budget_t;
+} attempt_budget_t;
 
-void extra_budget_init(extra_budget_t *budget);
+void attempt_budget_init(attempt_budget_t *budget);
 /* A caller's request arrived. */
-void extra_budget_earn(extra_budget_t *budget);
-bool extra_budget_spend(extra_budget_t *budget);
+void attempt_budget_deposit(attempt_budget_t *budget);
+bool attempt_budget_withdraw(attempt_budget_t *budget);
--- a/entry/request/key.c
+++ b/entry/request/key.c
@@ -12,10 +12,10 @@
     SWEEP_BUCKETS = 1 << 10, /* looked at for old records in one sweep */
 };
 
-struct key_book {
+struct key_registry {
     key_record_t *buckets[BUCKETS];
     size_t count;
-    size_t sweep_at;
+    size_t sweep_position;
 };
 
 void
@@ -42,74 +42,74 @@
            (size_t)used == text.len && name_set(&out->instance, str_from(name));
 }
 
-key_book_t *
-key_book_new(void)
+key_registry_t *
+key_registry_new(void)
 {
-    return xcalloc(1, sizeof(key_book_t));
+    return xcalloc(1, sizeof(key_registry_t));
 }
 
 void
-key_book_free(key_book_t *book)
+key_registry_free(key_registry_t *registry)
 {
-    if (book == NULL)
+    if (registry == NULL)
         return;
     for (size_t i = 0; i < BUCKETS; i++) {
-        while (book->buckets[i] != NULL) {
-            key_record_t *record = book->buckets[i];
-            book->buckets[i] = record->next;
+        while (registry->buckets[i] != NULL) {
+            key_record_t *record = registry->buckets[i];
+            registry->buckets[i] = record->next;
             free(record);
         }
     }
-    free(book);
+    free(registry);
 }
 
 static key_record_t **
-slot_of(key_book_t *book, str_t text)
+slot_of(key_registry_t *registry, str_t text)
 {
-    key_record_t **slot = &book->buckets[str_hash(text, 0) % BUCKETS];
+    key_record_t **slot = &registry->buckets[str_hash(text, 0) % BUCKETS];
     while (*slot != NULL && !str_eq(str_from((*slot)->text), text))
         slot = &(*slot)->next;
     return slot;
 }
 
 key_record_t *
-key_book_find(key_book_t *book, str_t text)
+key_registry_find(key_registry_t *registry, str_t text)
 {
-    return *slot_of(book, text);
+    return *slot_of(registry, text);
 }
 
 key_record_t *
-key_book_add(key_book_t *book, str_t text, uint64_t fingerprint, uint64_t now_ms)
+key_registry_add(key_registry_t *registry, str_t text, uint64_t fingerprint, uint64_t now_ms)
 {
-    if (text.len >= KEY_TEXT_MAX || book->count >= KEY_RECORDS_MAX)
+    if (text.len >= KEY_TEXT_MAX || registry->count >= KEY_RECORDS_MAX)
         return NULL;
-    key_record_t **slot = slot_of(book, text);
+    key_record_t **slot = slot_of(registry, text);
     xassert(*slot == NULL);
     key_record_t *record = xcalloc(1, sizeof(*record));
     memcpy(record->text, text.ptr, text.len);
     record->fingerprint = fingerprint;
     record->touched_ms = now_ms;
     *slot = record;
-    book->count++;
+    registry->count++;
     return record;
 }
 
 void
-key_book_remove(key_book_t *book, key_record_t *record)
+key_registry_remove(key_registry_t *registry, key_record_t *record)
 {
-    key_record_t **slot = slot_of(book, str_from(record->text));
+    key_record_t **slot = slot_of(registry, str_from(record->text));
     xassert(*slot == record);
     *slot = record->next;
     free(record);
-    book->count--;
+    registry->count--;
 }
 
 void
-key_book_sweep(key_book_t *book, uint64_t now_ms)
+key_registry_sweep(key_registry_t *registry, uint64_t now_ms)
 {
     for (size_t n = 0; n < SWEEP_BUCKETS; n++) {
-        key_record_t **slot = &book->buckets[book->sweep_at];
-        book->sweep_at = (book->sweep_at + 1) % BUCKETS;
+        key_record_t **slot = &registry->buckets[registry->sweep_position];
+        registry->sweep_position = (registry->sweep_position + 1) % BUCKETS;
         while (*slot != NULL) {
             key_record_t *record = *slot;
             if (record->state == KEY_RUNNING || now_ms < record->touched_ms + KEY_RECORD_MS) {
@@ -118,13 +118,13 @@
             }
             *slot = record->next;
             free(record);
-            book->count--;
+            registry->count--;
         }
     }
 }
 
 size_t
-key_book_count(const key_book_t *book)
+key_registry_count(const key_registry_t *registry)
 {
-    return book->count;
+    return registry->count;
 }
--- a/entry/request/key.h
+++ b/entry/request/key.h
@@ -37,7 +37,7 @@
 
 typedef enum {
     KEY_RUNNING, /* handed to a backend server, or about to be */
-    KEY_FREE,    /* certainly not run here */
+    KEY_NOT_RUN, /* certainly not run here */
     KEY_DONE,
     KEY_UNKNOWN, /* handed over, and no whole answer came */
 } key_state_t;
@@ -56,14 +56,15 @@
     key_record_t *next;
 };
 
-typedef struct key_book key_book_t;
+typedef struct key_registry key_registry_t;
 
-key_book_t *key_book_new(void);
-void key_book_free(key_book_t *book);
-key_record_t *key_book_find(key_book_t *book, str_t text);
-/* A new record in state KEY_RUNNING; NULL if the book is full or the text too long. */
-key_record_t *key_book_add(key_book_t *book, str_t text, uint64_t fingerprint, uint64_t now_ms);
-void key_book_remove(key_book_t *book, key_record_t *record);
+key_registry_t *key_registry_new(void);
+void key_registry_free(key_registry_t *registry);
+key_record_t *key_registry_find(key_registry_t *registry, str_t text);
+/* A new record in state KEY_RUNNING; NULL if the registry is full or the text too long. */
+key_record_t *key_registry_add(key_registry_t *registry, str_t text, uint64_t fingerprint,
+                               uint64_t now_ms);
+void key_registry_remove(key_registry_t *registry, key_record_t *record);
 /* Forgets records not touched for KEY_RECORD_MS, running ones excepted. */
-void key_book_sweep(key_book_t *book, uint64_t now_ms);
-size_t key_book_count(const key_book_t *book);
+void key_registry_sweep(key_registry_t *registry, uint64_t now_ms);
+size_t key_registry_count(const key_registry_t *registry);
--- a/entry/request/latency.c
+++ b/entry/request/latency.c
@@ -3,7 +3,7 @@
 /* The quantile that is estimated, and the part of the estimate that one latency moves it by.
  * Chosen, not measured. */
 #define QUANTILE 0.95
-#define GAIN 0.05
+#define STEP_FRACTION 0.05
 
 /* Stochastic approximation: up by q, down by 1 - q, in proportion to the estimate itself. */
 void
@@ -13,6 +13,6 @@
         quantile->ms = ms * 2;
         return;
     }
-    const double step = quantile->ms * GAIN;
+    const double step = quantile->ms * STEP_FRACTION;
     quantile->ms += ms > quantile->ms ? step * QUANTILE : -step * (1 - QUANTILE);
 }
--- a/test/test_request.c
+++ b/test/test_request.c
@@ -8,7 +8,7 @@
 #include "entry/request/latency.h"
 #include "test/suites.h"
 
-START_TEST(minted_keys_name_their_owner)
+START_TEST(minted_keys_identify_owner)
 {
     rng_t rng = {.state = 1};
     name_t name;
@@ -30,42 +30,42 @@
 }
 END_TEST
 
-START_TEST(the_book_remembers_and_forgets)
+START_TEST(registry_keeps_and_expires_records)
 {
-    key_book_t *book = key_book_new();
-    key_record_t *record = key_book_add(book, STR("a"), 9, 1000);
-    ck_assert_ptr_eq(key_book_find(book, STR("a")), record);
-    ck_assert_ptr_null(key_book_find(book, STR("b")));
+    key_registry_t *registry = key_registry_new();
+    key_record_t *record = key_registry_add(registry, STR("a"), 9, 1000);
+    ck_assert_ptr_eq(key_registry_find(registry, STR("a")), record);
+    ck_assert_ptr_null(key_registry_find(registry, STR("b")));
     for (int i = 0; i < 20; i++)
-        key_book_sweep(book, 1000 + 2 * KEY_RECORD_MS);
-    ck_assert_uint_eq(key_book_count(book), 1); /* still running */
+        key_registry_sweep(registry, 1000 + 2 * KEY_RECORD_MS);
+    ck_assert_uint_eq(key_registry_count(registry), 1); /* still running */
     record->state = KEY_DONE;
     for (int i = 0; i < 20; i++)
-        key_book_sweep(book, 1000 + KEY_RECORD_MS - 1);
-    ck_assert_uint_eq(key_book_count(book), 1);
+        key_registry_sweep(registry, 1000 + KEY_RECORD_MS - 1);
+    ck_assert_uint_eq(key_registry_count(registry), 1);
     for (int i = 0; i < 20; i++)
-        key_book_sweep(book, 1000 + KEY_RECORD_MS);
-    ck_assert_uint_eq(key_book_count(book), 0);
-    key_book_free(book);
+        key_registry_sweep(registry, 1000 + KEY_RECORD_MS);
+    ck_assert_uint_eq(key_registry_count(registry), 0);
+    key_registry_free(registry);
 }
 END_TEST
 
-START_TEST(extra_requests_stay_a_small_part)
+START_TEST(attempt_budget_limits_extra_requests)
 {
-    extra_budget_t budget;
-    extra_budget_init(&budget);
+    attempt_budget_t budget;
+    attempt_budget_init(&budget);
     size_t extra = 0;
     for (size_t i = 0; i < 10000; i++) {
-        extra_budget_earn(&budget);
-        extra += extra_budget_spend(&budget);
-        extra += extra_budget_spend(&budget);
+        attempt_budget_deposit(&budget);
+        extra += attempt_budget_withdraw(&budget);
+        extra += attempt_budget_withdraw(&budget);
     }
     ck_assert_uint_le(extra, 1000); /* below a tenth, though every request failed */
     ck_assert_uint_ge(extra, 700);
 }
 END_TEST
 
-START_TEST(quantile_settles)
+START_TEST(quantile_converges)
 {
     rng_t rng = {.state = 4};
     latency_quantile_t quantile = {0};
@@ -80,10 +80,10 @@
 {
     Suite *suite = suite_create("request");
     TCase *tcase = tcase_create("request");
-    tcase_add_test(tcase, minted_keys_name_their_owner);
-    tcase_add_test(tcase, the_book_remembers_and_forgets);
-    tcase_add_test(tcase, extra_requests_stay_a_small_part);
-    tcase_add_test(tcase, quantile_settles);
+    tcase_add_test(tcase, minted_keys_identify_owner);
+    tcase_add_test(tcase, registry_keeps_and_expires_records);
+    tcase_add_test(tcase, attempt_budget_limits_extra_requests);
+    tcase_add_test(tcase, quantile_converges);
     suite_add_tcase(suite, tcase);
     return suite;
 }
