--- a/entry/request/budget.c
+++ b/entry/request/budget.c
@@ -1,7 +1,6 @@
 #include "entry/request/budget.h"
 
-/* Extra requests a caller's request earns, and how many may be saved up. Chosen, not measured
- * alone: docs/design/entry/choice.md. */
+/* Extra attempts that each incoming request adds to the budget, and the maximum balance. */
 #define TOKENS_PER_REQUEST 0.08
 #define TOKENS_MAX 10.0
 
--- a/entry/request/budget.h
+++ b/entry/request/budget.h
@@ -1,6 +1,6 @@
 /*
- * Budget of extra requests to backend servers (retries and hedges): a share of the recent
- * requests, so that failures never multiply the load. Pure.
+ * Budget for extra attempts at backend servers (retries and hedges). It is a fraction of the recent
+ * requests, so failures do not multiply the load. Performs no I/O.
  */
 #pragma once
 
@@ -11,6 +11,6 @@
 } attempt_budget_t;
 
 void attempt_budget_init(attempt_budget_t *budget);
-/* A caller's request arrived. */
+/* Adds the allowance of one incoming request. */
 void attempt_budget_deposit(attempt_budget_t *budget);
 bool attempt_budget_withdraw(attempt_budget_t *budget);
--- a/entry/request/key.c
+++ b/entry/request/key.c
@@ -6,10 +6,9 @@
 #include "base/xmalloc.h"
 #include "entry/request/key.h"
 
-/* Chosen, not measured. */
 enum {
     BUCKETS = 1 << 14,       /* of the hash table */
-    SWEEP_BUCKETS = 1 << 10, /* looked at for old records in one sweep */
+    SWEEP_BUCKETS = 1 << 10, /* checked for expired records per sweep */
 };
 
 struct key_registry {
--- a/entry/request/latency.c
+++ b/entry/request/latency.c
@@ -1,11 +1,10 @@
 #include "entry/request/latency.h"
 
-/* The quantile that is estimated, and the part of the estimate that one latency moves it by.
- * Chosen, not measured. */
+/* The estimated quantile and the step per sample, as a fraction of the estimate. */
 #define QUANTILE 0.95
 #define STEP_FRACTION 0.05
 
-/* Stochastic approximation: up by q, down by 1 - q, in proportion to the estimate itself. */
+/* Stochastic approximation: steps up by q or down by 1 - q, scaled by the estimate. */
 void
 latency_quantile_add(latency_quantile_t *quantile, double ms)
 {
--- a/entry/request/latency.h
+++ b/entry/request/latency.h
@@ -1,6 +1,4 @@
-/*
- * Running estimate of a high quantile of a class's latency, for the moment to hedge. Pure.
- */
+/* Running estimate of a high quantile of a request class's latency, used to time hedges. */
 #pragma once
 
 typedef struct {
--- a/test/test_request.c
+++ b/test/test_request.c
@@ -1,4 +1,4 @@
-/* Keys, the budget of extra requests, the latency quantile. */
+/* Request keys, the budget of extra attempts, the latency quantile. */
 #include <stdio.h>
 #include <string.h>
 
@@ -60,7 +60,7 @@
         extra += attempt_budget_withdraw(&budget);
         extra += attempt_budget_withdraw(&budget);
     }
-    ck_assert_uint_le(extra, 1000); /* below a tenth, though every request failed */
+    ck_assert_uint_le(extra, 1000); /* at most a tenth, even if every request fails */
     ck_assert_uint_ge(extra, 700);
 }
 END_TEST
