--- a/entry/backend/backend.c
+++ b/entry/backend/backend.c
@@ -9,8 +9,8 @@
 /* Chosen with the choice as a whole (docs/design/entry/choice.md); none was measured alone. */
 #define LATENCY_GAIN 0.2        /* weight of the latest latency in the smoothed one */
 #define DEFAULT_LATENCY_MS 10.0 /* of a service none of whose servers has answered yet */
-#define CLEARLY_BETTER 0.95     /* smaller differences are noise; the first one drawn wins */
-#define QUEUE_ALLOWANCE 0.5     /* requests a slot that may wait at a server */
+#define BETTER_RATIO 0.95       /* smaller differences are noise; the first one drawn wins */
+#define QUEUE_PER_SLOT 0.5      /* requests a slot that may wait at a server */
 
 bool
 policy_parse(str_t text, policy_t *out)
@@ -67,8 +67,8 @@
     if (mutate_is(MUTATE_IGNORE_DRAIN))
         return false;
     return !backend->listed || backend->leaving_listed || backend->leaving_marked ||
-           (backend->leaving_said_ms != 0 &&
-            now_ms < backend->leaving_said_ms + BACKEND_DRAIN_MEMORY_MS);
+           (backend->leaving_reported_ms != 0 &&
+            now_ms < backend->leaving_reported_ms + BACKEND_LEAVING_TTL_MS);
 }
 
 bool
@@ -78,25 +78,25 @@
 }
 
 bool
-backend_word_is_old(const backend_t *backend, uint64_t now_ms)
+backend_status_is_stale(const backend_t *backend, uint64_t now_ms)
 {
-    return now_ms > backend->heard_ms + BACKEND_WORD_MS;
+    return now_ms > backend->status_ms + BACKEND_STATUS_TTL_MS;
 }
 
 void
-backend_heard(backend_t *backend, bool leaving, uint64_t asked_ms, uint64_t now_ms)
+backend_status_received(backend_t *backend, bool leaving, uint64_t asked_ms, uint64_t now_ms)
 {
-    if (asked_ms > backend->heard_ms)
-        backend->heard_ms = asked_ms;
+    if (asked_ms > backend->status_ms)
+        backend->status_ms = asked_ms;
     if (leaving)
-        backend->leaving_said_ms = now_ms;
+        backend->leaving_reported_ms = now_ms;
 }
 
 double
 backend_load(const backend_t *backend, uint64_t now_ms)
 {
-    const double age = (double)(now_ms - backend->others_at_ms);
-    return backend->outstanding + backend->others * exp(-age / BACKEND_LOAD_DECAY_MS);
+    const double age = (double)(now_ms - backend->others_load_at_ms);
+    return backend->outstanding + backend->others_load * exp(-age / BACKEND_LOAD_DECAY_MS);
 }
 
 void
@@ -113,16 +113,16 @@
 }
 
 static void
-note_load(backend_t *backend, uint32_t load, uint64_t now_ms)
+record_load(backend_t *backend, uint32_t load, uint64_t now_ms)
 {
-    backend->others = load > backend->outstanding ? load - backend->outstanding : 0;
-    backend->others_at_ms = now_ms;
+    backend->others_load = load > backend->outstanding ? load - backend->outstanding : 0;
+    backend->others_load_at_ms = now_ms;
 }
 
 void
 backend_answered(backend_t *backend, double latency_ms, uint32_t load, uint64_t now_ms)
 {
-    note_load(backend, load, now_ms);
+    record_load(backend, load, now_ms);
     backend->failures = 0;
     backend->eject_ms = 0;
     if (backend->latency_ms <= 0)
@@ -134,7 +134,7 @@
 void
 backend_shed(backend_t *backend, uint32_t load, uint64_t now_ms)
 {
-    note_load(backend, load > backend->slots ? load : 2 * backend->slots, now_ms);
+    record_load(backend, load > backend->slots ? load : 2 * backend->slots, now_ms);
     if (load < backend->slots)
         backend_failed(backend, now_ms); /* it refuses with free slots: something is wrong */
 }
@@ -167,11 +167,11 @@
 static bool
 has_room(const backend_t *backend, uint64_t now_ms)
 {
-    return backend_load(backend, now_ms) < backend->slots * (1 + QUEUE_ALLOWANCE);
+    return backend_load(backend, now_ms) < backend->slots * (1 + QUEUE_PER_SLOT);
 }
 
 static bool
-may_take(const backend_t *backend, const choice_t *choice, uint64_t now_ms)
+is_eligible(const backend_t *backend, const choice_t *choice, uint64_t now_ms)
 {
     if (backend == choice->except || !name_eq(&backend->service, choice->service))
         return false;
@@ -206,7 +206,7 @@
         if (!has_room(backend, now_ms))
             continue;
         const double ms = expected_ms(backend, typical, now_ms);
-        if (best == NULL || ms < best_ms * CLEARLY_BETTER) {
+        if (best == NULL || ms < best_ms * BETTER_RATIO) {
             best = backend;
             best_ms = ms;
         }
@@ -228,7 +228,7 @@
 }
 
 static backend_t *
-choose_two(backend_t *const *items, size_t count, uint64_t now_ms, rng_t *rng)
+choose_two_random(backend_t *const *items, size_t count, uint64_t now_ms, rng_t *rng)
 {
     backend_t *a = items[rng_below(rng, count)];
     backend_t *b = items[rng_below(rng, count)];
@@ -244,7 +244,7 @@
     *count = 0;
     for (size_t i = 0; i < backends->count; i++) {
         backend_t *backend = backends->items[i];
-        if (may_take(backend, choice, now_ms) &&
+        if (is_eligible(backend, choice, now_ms) &&
             !(skip_ejected && backend_is_ejected(backend, now_ms)))
             items[(*count)++] = backend;
     }
@@ -265,18 +265,18 @@
     case POLICY_LEAST:
         return choose_least(items, count, rng);
     case POLICY_TWO_CHOICES:
-        return choose_two(items, count, now_ms, rng);
+        return choose_two_random(items, count, now_ms, rng);
     }
     BUG("unknown policy");
 }
 
 /* Keeps only servers whose word is not old. */
 static size_t
-keep_heard(backend_t **items, size_t count, uint64_t now_ms)
+keep_fresh(backend_t **items, size_t count, uint64_t now_ms)
 {
     size_t kept = 0;
     for (size_t i = 0; i < count; i++) {
-        if (!backend_word_is_old(items[i], now_ms))
+        if (!backend_status_is_stale(items[i], now_ms))
             items[kept++] = items[i];
     }
     return kept;
@@ -295,9 +295,9 @@
         items = list_candidates(backends, choice, false, now_ms, &count);
     }
     backend_t *chosen = choose_among(items, count, choice->policy, now_ms, rng, turn);
-    if (chosen != NULL && backend_word_is_old(chosen, now_ms)) {
-        chosen->wanted = true;
-        count = keep_heard(items, count, now_ms);
+    if (chosen != NULL && backend_status_is_stale(chosen, now_ms)) {
+        chosen->probe_requested = true;
+        count = keep_fresh(items, count, now_ms);
         chosen = choose_among(items, count, choice->policy, now_ms, rng, turn);
     }
     free(items);
--- a/entry/backend/backend.h
+++ b/entry/backend/backend.h
@@ -23,10 +23,10 @@
     BACKEND_EJECT_MIN_MS = 1000,
     BACKEND_EJECT_MAX_MS = 15000,
     BACKEND_LATENCY_DECAY_MS = 3000, /* an old latency estimate fades towards the median */
-    BACKEND_DRAIN_MEMORY_MS = 30000, /* how long a server's own word that it leaves is kept */
+    BACKEND_LEAVING_TTL_MS = 30000,  /* how long a server's own word that it leaves is kept */
     /* A server's word is used for new work so long: below the 5 s within which a leaving server
      * stops getting any. */
-    BACKEND_WORD_MS = 4000,
+    BACKEND_STATUS_TTL_MS = 4000,
 };
 
 typedef struct {
@@ -37,14 +37,14 @@
     uint32_t slots;
     bool listed;
     bool leaving_listed;
-    bool leaving_marked;      /* by the table */
-    uint64_t leaving_said_ms; /* steady; 0: never */
-    uint64_t heard_ms;        /* when what it last answered was sent to it; 0: never */
-    bool wanted;              /* chosen, but not heard for too long: to be asked */
-    bool asking;              /* a probe is under way */
-    uint32_t outstanding;     /* our own */
-    uint32_t others;          /* load it reported beyond ours */
-    uint64_t others_at_ms;
+    bool leaving_marked;          /* by the table */
+    uint64_t leaving_reported_ms; /* steady; 0: never */
+    uint64_t status_ms;           /* when what it last answered was sent to it; 0: never */
+    bool probe_requested;         /* chosen, but not heard for too long: to be asked */
+    bool probe_pending;           /* a probe is under way */
+    uint32_t outstanding;         /* our own */
+    uint32_t others_load;         /* load it reported beyond ours */
+    uint64_t others_load_at_ms;
     double latency_ms; /* smoothed, per request; 0: unknown */
     uint64_t latency_at_ms;
     uint32_t failures; /* in a row */
@@ -73,10 +73,10 @@
 void backend_started(backend_t *backend);
 void backend_ended(backend_t *backend);
 /* True if its word is too old for new work. */
-bool backend_word_is_old(const backend_t *backend, uint64_t now_ms);
+bool backend_status_is_stale(const backend_t *backend, uint64_t now_ms);
 /* It said whether it is leaving, or nothing although it was asked. What it says is as new as the
  * question: this process may have stood still before it read the answer. */
-void backend_heard(backend_t *backend, bool leaving, uint64_t asked_ms, uint64_t now_ms);
+void backend_status_received(backend_t *backend, bool leaving, uint64_t asked_ms, uint64_t now_ms);
 /* An answer came; `load` is what the server says it holds, ours included. */
 void backend_answered(backend_t *backend, double latency_ms, uint32_t load, uint64_t now_ms);
 void backend_shed(backend_t *backend, uint32_t load, uint64_t now_ms);
--- a/entry/path/attempt.c
+++ b/entry/path/attempt.c
@@ -96,8 +96,8 @@
     const uint64_t now = node_now(node);
     if (now >= attempt->deadline_ms)
         return false;
-    if (attempt->backend != NULL &&
-        (backend_is_leaving(attempt->backend, now) || backend_word_is_old(attempt->backend, now)))
+    if (attempt->backend != NULL && (backend_is_leaving(attempt->backend, now) ||
+                                     backend_status_is_stale(attempt->backend, now)))
         return false;
     if (attempt->row != NULL && !mutate_is(MUTATE_NO_LIMIT) &&
         credit_in_flight(node->credit) > credit_usable(node->credit, now))
@@ -125,8 +125,9 @@
     backend_t *backend = attempt->backend;
     const uint64_t now = node_now(attempt->node);
     const uint32_t load = parse_load(http_head_find(head, STR("x-irisstall-load")));
-    backend_heard(backend, str_eq(http_head_find(head, STR("x-irisstall-draining")), STR("1")),
-                  attempt->started_ms, now);
+    backend_status_received(backend,
+                            str_eq(http_head_find(head, STR("x-irisstall-draining")), STR("1")),
+                            attempt->started_ms, now);
     if (attempt->said_not_run && !backend_is_leaving(backend, now))
         backend_shed(backend, load, now);
     else if (!attempt->said_not_run)
--- a/entry/probe.c
+++ b/entry/probe.c
@@ -50,8 +50,8 @@
     backend_t *backend = backends_find(&node->backends, name_str(&probe->backend));
     const uint64_t now = node_now(node);
     if (backend != NULL) {
-        backend->asking = false;
-        backend_heard(backend, probe->leaving, probe->asked_ms, now);
+        backend->probe_pending = false;
+        backend_status_received(backend, probe->leaving, probe->asked_ms, now);
         const bool well =
             answer->result->err.code == ERR_NONE && answer->result->status == STATUS_OK;
         if (well && backend_is_ejected(backend, now))
@@ -66,10 +66,10 @@
 static void
 send_probe(node_t *node, backend_t *backend)
 {
-    backend->wanted = false;
-    if (backend->asking)
+    backend->probe_requested = false;
+    if (backend->probe_pending)
         return;
-    backend->asking = true;
+    backend->probe_pending = true;
     probe_t *probe = xmalloc(sizeof(*probe));
     *probe = (probe_t){.node = node, .backend = backend->name, .asked_ms = node_now(node)};
     const fetch_conf_t conf = {.target = node_backend_target(node, backend),
@@ -87,7 +87,7 @@
 probe_wanted(node_t *node)
 {
     for (size_t i = 0; i < node->backends.count; i++) {
-        if (node->backends.items[i]->wanted)
+        if (node->backends.items[i]->probe_requested)
             send_probe(node, node->backends.items[i]);
     }
 }
--- a/test/test_backend.c
+++ b/test/test_backend.c
@@ -54,7 +54,7 @@
         ck_assert_ptr_ne(choose(backends, now), backend);
 }
 
-START_TEST(every_word_of_leaving_counts)
+START_TEST(any_leaving_signal_stops_new_requests)
 {
     backends_t backends = make_backends();
     backend_t *first = backends.items[0];
@@ -64,13 +64,13 @@
     else if (_i == 1)
         first->leaving_marked = true;
     else
-        first->leaving_said_ms = 1000;
+        first->leaving_reported_ms = 1000;
     expect_never_chosen(&backends, first, 1000);
     instances_free(leaving);
 }
 END_TEST
 
-START_TEST(leaving_test_fails_without_the_rule)
+START_TEST(leaving_test_detects_ignored_drain)
 {
     backends_t backends = make_backends();
     backends.items[0]->leaving_marked = true;
@@ -84,26 +84,26 @@
 END_TEST
 
 /* A server says that it is leaving only when it answers, and each instance has its own word. */
-START_TEST(a_server_not_heard_lately_is_asked_first)
+START_TEST(stale_server_is_probed_before_use)
 {
     backends_t backends = make_backends();
     backend_t *first = backends.items[0];
-    const uint64_t now = 1000 + BACKEND_WORD_MS + 1;
-    backend_heard(first, false, 1000, now); /* read late: no newer than the question */
+    const uint64_t now = 1000 + BACKEND_STATUS_TTL_MS + 1;
+    backend_status_received(first, false, 1000, now); /* read late: no newer than the question */
     for (size_t i = 1; i < SERVERS; i++)
-        backend_heard(backends.items[i], false, 1001, 1001);
+        backend_status_received(backends.items[i], false, 1001, 1001);
     expect_never_chosen(&backends, first, now);
-    ck_assert(first->wanted);
+    ck_assert(first->probe_requested);
     ck_assert_ptr_nonnull(choose(&backends, now));
     ck_assert_ptr_null(choose(&backends, now + 1));
-    backend_heard(first, false, now + 1, now + 2);
+    backend_status_received(first, false, now + 1, now + 2);
     ck_assert_ptr_eq(choose(&backends, now + 2), first);
-    backend_heard(first, true, now + 3, now + 3);
+    backend_status_received(first, true, now + 3, now + 3);
     ck_assert_ptr_null(choose(&backends, now + 3));
 }
 END_TEST
 
-START_TEST(slots_bound_what_is_sent)
+START_TEST(slots_limit_requests_sent)
 {
     backends_t backends = make_backends();
     size_t sent = 0;
@@ -117,7 +117,7 @@
 }
 END_TEST
 
-START_TEST(a_slow_server_gets_less)
+START_TEST(slow_server_gets_fewer_requests)
 {
     backends_t backends = make_backends();
     for (size_t i = 0; i < SERVERS; i++)
@@ -126,14 +126,14 @@
     size_t later = 0;
     const uint64_t then = 1000 + 8 * BACKEND_LATENCY_DECAY_MS;
     for (size_t i = 0; i < SERVERS; i++)
-        backend_heard(backends.items[i], false, then, then);
+        backend_status_received(backends.items[i], false, then, then);
     for (size_t i = 0; i < 200; i++) /* an old estimate fades, so it is tried again */
         later += choose(&backends, then) == backends.items[0];
     ck_assert_uint_gt(later, 0);
 }
 END_TEST
 
-START_TEST(failures_eject_and_time_returns)
+START_TEST(failures_eject_until_timeout)
 {
     backends_t backends = make_backends();
     backend_t *first = backends.items[0];
@@ -147,7 +147,7 @@
 }
 END_TEST
 
-START_TEST(all_ejected_means_none_is)
+START_TEST(ejection_is_ignored_if_all_are_ejected)
 {
     backends_t backends = make_backends();
     for (size_t i = 0; i < SERVERS * BACKEND_EJECT_FAILURES; i++)
@@ -156,7 +156,7 @@
 }
 END_TEST
 
-START_TEST(a_reported_load_fades)
+START_TEST(reported_load_decays)
 {
     backends_t backends = make_backends();
     backend_t *first = backends.items[0];
@@ -171,14 +171,14 @@
 {
     Suite *suite = suite_create("backend");
     TCase *tcase = tcase_create("backend");
-    tcase_add_loop_test(tcase, every_word_of_leaving_counts, 0, 3);
-    tcase_add_test(tcase, leaving_test_fails_without_the_rule);
-    tcase_add_test(tcase, a_server_not_heard_lately_is_asked_first);
-    tcase_add_test(tcase, slots_bound_what_is_sent);
-    tcase_add_test(tcase, a_slow_server_gets_less);
-    tcase_add_test(tcase, failures_eject_and_time_returns);
-    tcase_add_test(tcase, all_ejected_means_none_is);
-    tcase_add_test(tcase, a_reported_load_fades);
+    tcase_add_loop_test(tcase, any_leaving_signal_stops_new_requests, 0, 3);
+    tcase_add_test(tcase, leaving_test_detects_ignored_drain);
+    tcase_add_test(tcase, stale_server_is_probed_before_use);
+    tcase_add_test(tcase, slots_limit_requests_sent);
+    tcase_add_test(tcase, slow_server_gets_fewer_requests);
+    tcase_add_test(tcase, failures_eject_until_timeout);
+    tcase_add_test(tcase, ejection_is_ignored_if_all_are_ejected);
+    tcase_add_test(tcase, reported_load_decays);
     suite_add_tcase(suite, tcase);
     return suite;
 }
