--- a/entry/backend/backend.c
+++ b/entry/backend/backend.c
@@ -6,11 +6,10 @@
 #include "base/mutate.h"
 #include "base/xmalloc.h"
 
-/* Chosen with the choice as a whole (docs/design/entry/choice.md); none was measured alone. */
-#define LATENCY_GAIN 0.2        /* weight of the latest latency in the smoothed one */
-#define DEFAULT_LATENCY_MS 10.0 /* of a service none of whose servers has answered yet */
-#define BETTER_RATIO 0.95       /* smaller differences are noise; the first one drawn wins */
-#define QUEUE_PER_SLOT 0.5      /* requests a slot that may wait at a server */
+#define LATENCY_GAIN 0.2        /* weight of the latest sample in the moving average */
+#define DEFAULT_LATENCY_MS 10.0 /* used until a server of the service has responded */
+#define BETTER_RATIO 0.95       /* smaller differences count as noise */
+#define QUEUE_PER_SLOT 0.5      /* requests per slot that may be queued at a server */
 
 bool
 policy_parse(str_t text, policy_t *out)
@@ -136,7 +135,7 @@
 {
     record_load(backend, load > backend->slots ? load : 2 * backend->slots, now_ms);
     if (load < backend->slots)
-        backend_failed(backend, now_ms); /* it refuses with free slots: something is wrong */
+        backend_failed(backend, now_ms); /* refused despite free slots: treat it as a failure */
 }
 
 void
@@ -149,10 +148,10 @@
     if (backend->eject_ms > BACKEND_EJECT_MAX_MS)
         backend->eject_ms = BACKEND_EJECT_MAX_MS;
     backend->ejected_until_ms = now_ms + backend->eject_ms;
-    backend->failures = BACKEND_EJECT_FAILURES - 1; /* one more failure ejects again */
+    backend->failures = BACKEND_EJECT_FAILURES - 1; /* one more failure ejects it again */
 }
 
-/* Expected time to an answer, in ms. */
+/* Expected response time in ms. */
 static double
 expected_ms(const backend_t *backend, double typical_ms, uint64_t now_ms)
 {
@@ -235,7 +234,7 @@
     return backend_load(a, now_ms) <= backend_load(b, now_ms) ? a : b;
 }
 
-/* Servers that may take the request; free() the list. */
+/* Lists the servers eligible for the request; free() the result. */
 static backend_t **
 list_candidates(const backends_t *backends, const choice_t *choice, bool skip_ejected,
                 uint64_t now_ms, size_t *count)
@@ -270,7 +269,7 @@
     BUG("unknown policy");
 }
 
-/* Keeps only servers whose word is not old. */
+/* Keeps only servers whose status is not stale. */
 static size_t
 keep_fresh(backend_t **items, size_t count, uint64_t now_ms)
 {
@@ -290,7 +289,8 @@
     const bool skip_ejected = choice->policy != POLICY_ROUND_ROBIN;
     backend_t **items = list_candidates(backends, choice, skip_ejected, now_ms, &count);
     if (count == 0 && skip_ejected) {
-        /* When all servers look broken, the signal is more likely wrong than the servers. */
+        /* If all servers are ejected, the signal is more likely wrong than the servers: ignore it.
+         */
         free(items);
         items = list_candidates(backends, choice, false, now_ms, &count);
     }
--- a/entry/backend/backend.h
+++ b/entry/backend/backend.h
@@ -1,11 +1,11 @@
 /*
- * Backend servers of a region as one entry instance sees them, and the choice among them.
+ * Backend servers of a region as seen by one entry instance, and the choice among them.
  *
- * Signals are late and may mislead, so what this instance knows itself counts first: its own
- * requests in flight and the outcome of its own attempts. What a server last said of its load is
- * used with a weight that decays. A server stops getting work as soon as any source says that it
- * is leaving: a mark in the table, the list, or its own word. A server says so only when it
- * answers, so one that was not heard for a while is asked before it gets new work. Pure.
+ * Reports from servers arrive late and can be misleading, so local knowledge takes precedence: the
+ * requests this instance has in flight and the outcome of its own attempts. The load last reported
+ * by a server is weighted less as it ages. A server gets no new work once any source says that it
+ * is leaving: a mark in the table, the instance list or the server itself. Servers report this only
+ * in responses, so one with a stale status is probed before it gets new work. Performs no I/O.
  */
 #pragma once
 
@@ -16,16 +16,16 @@
 #include "base/rng.h"
 #include "entry/fleet/instance.h"
 
-/* Chosen with the choice as a whole (docs/design/entry/choice.md); none was measured alone. */
 enum {
-    BACKEND_LOAD_DECAY_MS = 400, /* half-life-like scale of a reported load */
-    BACKEND_EJECT_FAILURES = 3,  /* failures in a row that take a server out */
+    BACKEND_LOAD_DECAY_MS = 400, /* time constant of the decay of a reported load */
+    BACKEND_EJECT_FAILURES = 3,  /* consecutive failures that eject a server */
     BACKEND_EJECT_MIN_MS = 1000,
     BACKEND_EJECT_MAX_MS = 15000,
-    BACKEND_LATENCY_DECAY_MS = 3000, /* an old latency estimate fades towards the median */
-    BACKEND_LEAVING_TTL_MS = 30000,  /* how long a server's own word that it leaves is kept */
-    /* A server's word is used for new work so long: below the 5 s within which a leaving server
-     * stops getting any. */
+    BACKEND_LATENCY_DECAY_MS =
+        3000, /* time constant by which a latency estimate reverts to the typical one */
+    BACKEND_LEAVING_TTL_MS = 30000, /* how long a server counts as leaving after it reported so */
+    /* A status older than this is stale. Must be below the 5 s within which a leaving server
+     * stops getting new work. */
     BACKEND_STATUS_TTL_MS = 4000,
 };
 
@@ -37,24 +37,24 @@
     uint32_t slots;
     bool listed;
     bool leaving_listed;
-    bool leaving_marked;          /* by the table */
-    uint64_t leaving_reported_ms; /* steady; 0: never */
-    uint64_t status_ms;           /* when what it last answered was sent to it; 0: never */
-    bool probe_requested;         /* chosen, but not heard for too long: to be asked */
-    bool probe_pending;           /* a probe is under way */
-    uint32_t outstanding;         /* our own */
-    uint32_t others_load;         /* load it reported beyond ours */
+    bool leaving_marked;          /* marked as draining in the table */
+    uint64_t leaving_reported_ms; /* monotonic time; 0: never */
+    uint64_t status_ms;           /* send time of the last request it responded to; 0: never */
+    bool probe_requested;         /* selected with a stale status, to be probed */
+    bool probe_pending;           /* a probe is in progress */
+    uint32_t outstanding;         /* requests in flight from this instance */
+    uint32_t others_load;         /* reported load in excess of `outstanding` */
     uint64_t others_load_at_ms;
-    double latency_ms; /* smoothed, per request; 0: unknown */
+    double latency_ms; /* moving average per request; 0: unknown */
     uint64_t latency_at_ms;
-    uint32_t failures; /* in a row */
+    uint32_t failures; /* consecutive */
     uint64_t ejected_until_ms;
-    uint64_t eject_ms; /* length of the last ejection */
-    void *user;        /* the adapter's connection pool */
+    uint64_t eject_ms; /* duration of the last ejection */
+    void *user;        /* connection pool, managed by the caller */
 } backend_t;
 
 typedef struct {
-    backend_t **items; /* stable addresses: attempts keep pointers */
+    backend_t **items; /* addresses are stable: attempts keep pointers */
     size_t count;
 } backends_t;
 
@@ -67,17 +67,17 @@
 
 bool backend_is_leaving(const backend_t *backend, uint64_t now_ms);
 bool backend_is_ejected(const backend_t *backend, uint64_t now_ms);
-/* Requests thought to be at the server, ours and others'. */
+/* Estimated number of requests at the server, including those of other instances. */
 double backend_load(const backend_t *backend, uint64_t now_ms);
 
 void backend_started(backend_t *backend);
 void backend_ended(backend_t *backend);
-/* True if its word is too old for new work. */
+/* True if the last status is too old to send new work. */
 bool backend_status_is_stale(const backend_t *backend, uint64_t now_ms);
-/* It said whether it is leaving, or nothing although it was asked. What it says is as new as the
- * question: this process may have stood still before it read the answer. */
+/* Records the status in a response. It is dated by `asked_ms`, the send time of the request,
+ * because this process may have been suspended before it read the response. */
 void backend_status_received(backend_t *backend, bool leaving, uint64_t asked_ms, uint64_t now_ms);
-/* An answer came; `load` is what the server says it holds, ours included. */
+/* Records a response; `load` is the load the server reported, this instance included. */
 void backend_answered(backend_t *backend, double latency_ms, uint32_t load, uint64_t now_ms);
 void backend_shed(backend_t *backend, uint32_t load, uint64_t now_ms);
 void backend_failed(backend_t *backend, uint64_t now_ms);
@@ -85,13 +85,13 @@
 typedef struct {
     str_t service;
     str_t place;             /* empty: any */
-    const backend_t *except; /* tried before; may be NULL */
+    const backend_t *except; /* already tried; may be NULL */
     policy_t policy;
 } choice_t;
 
-/* Expected time to an answer from the choice's best server, ms; HUGE_VAL if there is none. */
+/* Expected response time of the best eligible server in ms; HUGE_VAL if there is none. */
 double backend_best_ms(const backends_t *backends, const choice_t *choice, uint64_t now_ms);
-/* The server for one request, or NULL if none may take it now. Notes the one it would rather have
- * as wanted, if that has to be asked first. `turn` is for round robin. */
+/* Selects the server for one request, or NULL if none is available. If the preferred server has a
+ * stale status, sets its `probe_requested` and selects another. `turn` is the round-robin state. */
 backend_t *backend_choose(const backends_t *backends, const choice_t *choice, uint64_t now_ms,
                           rng_t *rng, uint64_t *turn);
--- a/test/test_backend.c
+++ b/test/test_backend.c
@@ -1,4 +1,4 @@
-/* Backend servers: the choice among them, drains, ejections. */
+/* Backend servers: selection, draining and ejection. */
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -83,13 +83,13 @@
 }
 END_TEST
 
-/* A server says that it is leaving only when it answers, and each instance has its own word. */
+/* A server with a stale status may be leaving unnoticed, so it must be probed first. */
 START_TEST(stale_server_is_probed_before_use)
 {
     backends_t backends = make_backends();
     backend_t *first = backends.items[0];
     const uint64_t now = 1000 + BACKEND_STATUS_TTL_MS + 1;
-    backend_status_received(first, false, 1000, now); /* read late: no newer than the question */
+    backend_status_received(first, false, 1000, now); /* read late: dated by the send time */
     for (size_t i = 1; i < SERVERS; i++)
         backend_status_received(backends.items[i], false, 1001, 1001);
     expect_never_chosen(&backends, first, now);
@@ -111,7 +111,7 @@
         backend_started(b);
         sent++;
     }
-    ck_assert_uint_eq(sent, SERVERS * 3); /* two slots and half of them waiting */
+    ck_assert_uint_eq(sent, SERVERS * 3); /* two slots and one queued request each */
     for (size_t i = 0; i < SERVERS; i++)
         ck_assert_uint_eq(backends.items[i]->outstanding, 3);
 }
@@ -127,7 +127,7 @@
     const uint64_t then = 1000 + 8 * BACKEND_LATENCY_DECAY_MS;
     for (size_t i = 0; i < SERVERS; i++)
         backend_status_received(backends.items[i], false, then, then);
-    for (size_t i = 0; i < 200; i++) /* an old estimate fades, so it is tried again */
+    for (size_t i = 0; i < 200; i++) /* an old estimate decays, so the server is tried again */
         later += choose(&backends, then) == backends.items[0];
     ck_assert_uint_gt(later, 0);
 }
