--- a/entry/fleet/instance.c
+++ b/entry/fleet/instance.c
@@ -15,7 +15,7 @@
 }
 
 static bool
-parse_one(json_t *json, instance_t *out, err_t *err)
+parse_instance(json_t *json, instance_t *out, err_t *err)
 {
     const char *name;
     const char *role;
@@ -66,7 +66,7 @@
     json_t *item;
     json_array_foreach(root, i, item)
     {
-        if (!parse_one(item, &instances->items[instances->count++], err)) {
+        if (!parse_instance(item, &instances->items[instances->count++], err)) {
             json_decref(root);
             instances_free(instances);
             return NULL;
--- a/entry/fleet/loads.c
+++ b/entry/fleet/loads.c
@@ -46,12 +46,12 @@
 {
     if (load == NULL)
         return false;
-    double patience = load->interval_ms * LOADS_LOST_INTERVALS;
-    if (patience < LOADS_LOST_MIN_MS)
-        patience = LOADS_LOST_MIN_MS;
-    if (patience > LOADS_LOST_MS || load->interval_ms <= 0)
-        patience = LOADS_LOST_MS;
-    return now_ms > load->received_ms + (uint64_t)patience;
+    double timeout = load->interval_ms * LOADS_LOST_INTERVALS;
+    if (timeout < LOADS_LOST_MIN_MS)
+        timeout = LOADS_LOST_MIN_MS;
+    if (timeout > LOADS_LOST_MS || load->interval_ms <= 0)
+        timeout = LOADS_LOST_MS;
+    return now_ms > load->received_ms + (uint64_t)timeout;
 }
 
 double
--- a/entry/fleet/member.c
+++ b/entry/fleet/member.c
@@ -52,27 +52,28 @@
 }
 
 bool
-members_heard(members_t *members, str_t name, uint64_t incarnation, bool leaving, uint64_t now_ms)
+members_record_message(members_t *members, str_t name, uint64_t incarnation, bool leaving,
+                       uint64_t now_ms)
 {
     member_t *member = members_find(members, name);
     if (member == NULL || incarnation < member->incarnation)
         return false;
     member->incarnation = incarnation;
     member->heard_ms = now_ms;
-    member->leaving_said = leaving;
+    member->leaving_reported = leaving;
     return true;
 }
 
 bool
 member_alive(const member_t *member, uint64_t now_ms)
 {
-    return member->heard_ms != 0 && now_ms < member->heard_ms + MEMBER_SILENCE_MS;
+    return member->heard_ms != 0 && now_ms < member->heard_ms + MEMBER_TIMEOUT_MS;
 }
 
 bool
 member_serves(const member_t *member, uint64_t now_ms)
 {
-    return member_alive(member, now_ms) && !member->leaving_listed && !member->leaving_said;
+    return member_alive(member, now_ms) && !member->leaving_listed && !member->leaving_reported;
 }
 
 const member_t *
--- a/entry/fleet/objects.c
+++ b/entry/fleet/objects.c
@@ -76,7 +76,7 @@
     return object;
 }
 
-static offer_t
+static offer_result_t
 reject(objects_t *objects, object_t *object, uint64_t version, const err_t *err)
 {
     object->rejected = version;
@@ -87,7 +87,7 @@
     return OFFER_REJECTED;
 }
 
-offer_t
+offer_result_t
 objects_offer(objects_t *objects, str_t kind, str_t name, uint64_t version, str_t body)
 {
     object_t *object = find(objects, kind, name);
@@ -97,7 +97,7 @@
         return OFFER_REJECTED;
     if ((version <= object->version || version <= object->rejected) &&
         !mutate_is(MUTATE_ACCEPT_OLD))
-        return OFFER_OLD;
+        return OFFER_STALE;
     const object_t offered = {.kind = object->kind,
                               .name = object->name,
                               .version = version,
--- a/entry/fleet/objects.h
+++ b/entry/fleet/objects.h
@@ -30,10 +30,11 @@
     void (*adopted)(void *ctx, const object_t *object);
 } objects_cbs_t;
 
-typedef enum { OFFER_ADOPTED, OFFER_OLD, OFFER_REJECTED } offer_t;
+typedef enum { OFFER_ADOPTED, OFFER_STALE, OFFER_REJECTED } offer_result_t;
 
 objects_t *objects_new(const objects_cbs_t *cbs, void *ctx);
-offer_t objects_offer(objects_t *objects, str_t kind, str_t name, uint64_t version, str_t body);
+offer_result_t objects_offer(objects_t *objects, str_t kind, str_t name, uint64_t version,
+                             str_t body);
 /* True if the version is newer than what is held or was kept out. */
 bool objects_wants(const objects_t *objects, str_t kind, str_t name, uint64_t version);
 const object_t *objects_find(const objects_t *objects, str_t kind, str_t name);
--- a/entry/gossip_heartbeat.c
+++ b/entry/gossip_heartbeat.c
@@ -115,7 +115,7 @@
     const uint64_t now = node_now(node);
     const str_t name = str_from(beat->instance);
     merge_loads(node, beat);
-    if (members_heard(&node->members, name, beat->incarnation, beat->leaving, now)) {
+    if (members_record_message(&node->members, name, beat->incarnation, beat->leaving, now)) {
         member_t *member = members_find(&node->members, name);
         member->stamp_ms = beat->sent_ms;
         member->usable = beat->usable;
--- a/entry/gossip_objects.c
+++ b/entry/gossip_objects.c
@@ -181,8 +181,9 @@
     const str_t name = str_from(push->id->name);
     if (str_eq(kind, STR("allocation")) && !name_eq(&node->settings.region, name))
         return;
-    const offer_t offer = objects_offer(node->objects, kind, name, push->id->version,
-                                        (str_t){(const char *)push->body.data, push->body.len});
+    const offer_result_t offer =
+        objects_offer(node->objects, kind, name, push->id->version,
+                      (str_t){(const char *)push->body.data, push->body.len});
     if (offer == OFFER_ADOPTED)
         gossip_relay(node, objects_find(node->objects, kind, name), false);
 }
--- a/entry/store.c
+++ b/entry/store.c
@@ -131,8 +131,9 @@
     follower->gets--;
     if (answer->err.code == ERR_NONE) {
         note_success(follower);
-        const offer_t offer = objects_offer(node->objects, name_str(&get->kind),
-                                            name_str(&get->name), answer->version, answer->body);
+        const offer_result_t offer =
+            objects_offer(node->objects, name_str(&get->kind), name_str(&get->name),
+                          answer->version, answer->body);
         if (offer == OFFER_ADOPTED)
             gossip_relay(node,
                          objects_find(node->objects, name_str(&get->kind), name_str(&get->name)),
@@ -236,7 +237,7 @@
         follower->next_instances_ms = note_failure(follower, &answer->err);
         return;
     }
-    const offer_t offer =
+    const offer_result_t offer =
         objects_offer(node->objects, STR("instances"), STR("list"), answer->version, answer->body);
     if (offer == OFFER_ADOPTED)
         gossip_relay(node, objects_find(node->objects, STR("instances"), STR("list")), true);
--- a/test/test_fleet.c
+++ b/test/test_fleet.c
@@ -29,25 +29,25 @@
     return objects_new(&cbs, NULL);
 }
 
-static offer_t
+static offer_result_t
 offer(objects_t *objects, uint64_t version, const char *body)
 {
     return objects_offer(objects, STR("table"), STR("s"), version, str_from(body));
 }
 
-START_TEST(versions_only_go_up)
+START_TEST(versions_never_decrease)
 {
     objects_t *objects = new_objects();
     ck_assert_int_eq(offer(objects, 5, "x"), OFFER_ADOPTED);
-    ck_assert_int_eq(offer(objects, 5, "x"), OFFER_OLD);
-    ck_assert_int_eq(offer(objects, 4, "y"), OFFER_OLD);
+    ck_assert_int_eq(offer(objects, 5, "x"), OFFER_STALE);
+    ck_assert_int_eq(offer(objects, 4, "y"), OFFER_STALE);
     ck_assert_uint_eq(in_force, 5);
     ck_assert_int_eq(offer(objects, 9, "z"), OFFER_ADOPTED);
     ck_assert_uint_eq(in_force, 9);
 }
 END_TEST
 
-START_TEST(version_test_fails_without_the_rule)
+START_TEST(version_test_detects_accepted_old_versions)
 {
     objects_t *objects = new_objects();
     offer(objects, 5, "x");
@@ -58,7 +58,7 @@
 }
 END_TEST
 
-START_TEST(a_bad_object_stays_out)
+START_TEST(invalid_object_is_rejected)
 {
     objects_t *objects = new_objects();
     offer(objects, 5, "x");
@@ -72,7 +72,7 @@
 }
 END_TEST
 
-START_TEST(digest_tells_versions_not_order)
+START_TEST(digest_depends_on_versions_not_order)
 {
     objects_t *a = new_objects();
     objects_t *b = new_objects();
@@ -100,17 +100,18 @@
     ck_assert_uint_eq(members.count, 1);
     const member_t *b = members_find(&members, STR("b"));
     ck_assert(!member_alive(b, 1000));
-    ck_assert(members_heard(&members, STR("b"), 10, false, 1000));
+    ck_assert(members_record_message(&members, STR("b"), 10, false, 1000));
     ck_assert(member_serves(b, 1000));
-    ck_assert(!member_alive(b, 1000 + MEMBER_SILENCE_MS));
-    ck_assert(!members_heard(&members, STR("b"), 9, false, 2000)); /* an older incarnation */
-    ck_assert(members_heard(&members, STR("b"), 11, true, 2000));
+    ck_assert(!member_alive(b, 1000 + MEMBER_TIMEOUT_MS));
+    ck_assert(
+        !members_record_message(&members, STR("b"), 9, false, 2000)); /* an older incarnation */
+    ck_assert(members_record_message(&members, STR("b"), 11, true, 2000));
     ck_assert(member_alive(b, 2000) && !member_serves(b, 2000));
     instances_free(list);
 }
 END_TEST
 
-START_TEST(newer_loads_win)
+START_TEST(newer_loads_replace_older)
 {
     region_loads_t loads = {0};
     region_load_t report = {.wall_ms = 10, .usable = 4, .in_flight = 1};
@@ -137,12 +138,12 @@
 {
     Suite *suite = suite_create("fleet");
     TCase *tcase = tcase_create("fleet");
-    tcase_add_test(tcase, versions_only_go_up);
-    tcase_add_test(tcase, version_test_fails_without_the_rule);
-    tcase_add_test(tcase, a_bad_object_stays_out);
-    tcase_add_test(tcase, digest_tells_versions_not_order);
+    tcase_add_test(tcase, versions_never_decrease);
+    tcase_add_test(tcase, version_test_detects_accepted_old_versions);
+    tcase_add_test(tcase, invalid_object_is_rejected);
+    tcase_add_test(tcase, digest_depends_on_versions_not_order);
     tcase_add_test(tcase, members_by_list_and_heartbeat);
-    tcase_add_test(tcase, newer_loads_win);
+    tcase_add_test(tcase, newer_loads_replace_older);
     suite_add_tcase(suite, tcase);
     return suite;
 }
