--- a/entry/backend/backend.h
+++ b/entry/backend/backend.h
@@ -21,9 +21,8 @@
     BACKEND_EJECT_FAILURES = 3,  /* consecutive failures that eject a server */
     BACKEND_EJECT_MIN_MS = 1000,
     BACKEND_EJECT_MAX_MS = 15000,
-    BACKEND_LATENCY_DECAY_MS =
-        3000, /* time constant by which a latency estimate reverts to the typical one */
-    BACKEND_LEAVING_TTL_MS = 30000, /* how long a server counts as leaving after it reported so */
+    BACKEND_LATENCY_DECAY_MS = 3000, /* a latency estimate reverts to the typical one */
+    BACKEND_LEAVING_TTL_MS = 30000,  /* how long a server counts as leaving after it reported so */
     /* A status older than this is stale. Must be below the 5 s within which a leaving server
      * stops getting new work. */
     BACKEND_STATUS_TTL_MS = 4000,
--- a/entry/fleet/instance.c
+++ b/entry/fleet/instance.c
@@ -6,7 +6,7 @@
 #include "base/xmalloc.h"
 #include "entry/fleet/instance.h"
 
-enum { DEFAULT_SLOTS = 1 }; /* of a backend server whose record does not say */
+enum { DEFAULT_SLOTS = 1 }; /* for backend servers without the member */
 
 static bool
 parse_addr(const char *text, addr_t *out)
--- a/entry/fleet/instance.h
+++ b/entry/fleet/instance.h
@@ -1,4 +1,4 @@
-/* The platform's list of instances: our entries and the backend servers. */
+/* The platform's list of instances: entries and backend servers. */
 #pragma once
 
 #include <stdbool.h>
@@ -18,8 +18,8 @@
     name_t service; /* backend servers only */
     name_t region;
     name_t place;
-    addr_t addr;  /* for requests */
-    addr_t peer;  /* entries only: for other entries */
+    addr_t addr;  /* serves requests */
+    addr_t peer;  /* entries only: serves other entries */
     addr_t admin; /* entries only */
     uint32_t slots;
     bool leaving;
@@ -31,10 +31,10 @@
     size_t count;
 } instances_t;
 
-/* Parses the JSON list; NULL on error. Entries it does not understand are an error. */
+/* Parses the JSON list; returns NULL if any of its records is invalid. */
 instances_t *instances_parse(str_t json, uint64_t revision, err_t *err);
 void instances_free(instances_t *instances);
-/* A random entry that is not leaving, inside the region or anywhere else; NULL if none. */
+/* Selects a random entry that is not leaving, inside or outside the region; NULL if none. */
 const instance_t *instances_random_entry(const instances_t *instances, str_t region, bool inside,
                                          rng_t *rng);
 const instance_t *instances_find(const instances_t *instances, str_t name);
--- a/entry/fleet/loads.c
+++ b/entry/fleet/loads.c
@@ -1,6 +1,6 @@
 #include "entry/fleet/loads.h"
 
-/* Weight of the latest interval in the usual one. Chosen, not measured (commit 9af9734). */
+/* Weight of the latest interval in the moving average. */
 #define INTERVAL_GAIN 0.2
 
 static region_load_t *
--- a/test/test_fleet.c
+++ b/test/test_fleet.c
@@ -124,7 +124,7 @@
     ck_assert(region_load_headroom(known) == 0.75);
     ck_assert(!region_load_lost(known, 1000 + LOADS_LOST_MS));
     ck_assert(region_load_lost(known, 1001 + LOADS_LOST_MS));
-    for (uint64_t i = 1; i <= 20; i++) { /* news every second: missed sooner */
+    for (uint64_t i = 1; i <= 20; i++) { /* reports every second: a shorter timeout applies */
         report.wall_ms = 10 + i;
         ck_assert(region_loads_merge(&loads, &report, 1000 + i * 1000));
     }
