--- a/entry/fleet/instance.c
+++ b/entry/fleet/instance.c
@@ -43,7 +43,7 @@
         !name_set(&out->place, str_from(place)) || !parse_addr(addr, &out->addr) ||
         !parse_addr(peer, &out->peer) || !parse_addr(admin, &out->admin) ||
         (service != NULL && !name_set(&out->service, str_from(service)))) {
-        err_set(err, ERR_INVALID, "instance %s: a name or an address is not valid", name);
+        err_set(err, ERR_INVALID, "instance %s: invalid name or address", name);
         return false;
     }
     return true;
@@ -55,7 +55,7 @@
     json_error_t jerr;
     json_t *root = json_loadb(json.ptr, json.len, 0, &jerr);
     if (!json_is_array(root)) {
-        err_set(err, ERR_PARSE, "instance list: %s", root == NULL ? jerr.text : "not a list");
+        err_set(err, ERR_PARSE, "instance list: %s", root == NULL ? jerr.text : "not an array");
         json_decref(root);
         return NULL;
     }
--- a/entry/fleet/objects.c
+++ b/entry/fleet/objects.c
@@ -81,7 +81,7 @@
 {
     object->rejected = version;
     counter_add(objects->rejected, 1);
-    LOG_ERR("stored object kept out: kind=%s name=%s version=%lu in_force=%lu err=%s",
+    LOG_ERR("stored object rejected: kind=%s name=%s version=%lu in_force=%lu err=%s",
             object->kind.ptr, object->name.ptr, (unsigned long)version,
             (unsigned long)object->version, err->detail);
     return OFFER_REJECTED;
@@ -115,7 +115,7 @@
     object->rejected = rejected;
     objects->digest += object_hash(object);
     counter_add(objects->adopted, 1);
-    LOG_INFO("object in force: kind=%s name=%s version=%lu", object->kind.ptr, object->name.ptr,
+    LOG_INFO("object activated: kind=%s name=%s version=%lu", object->kind.ptr, object->name.ptr,
              (unsigned long)version);
     if (objects->cbs.adopted != NULL)
         objects->cbs.adopted(objects->ctx, object);
