--- a/entry/table/table.h
+++ b/entry/table/table.h
@@ -2,7 +2,7 @@
  * The steering table: one object per service with a row per place.
  *
  * table_check() enforces that places are unique, numbers are in range and at least one row takes
- * traffic. table_json.h defines the stored form.
+ * traffic. docs/TABLE.md describes the columns, table_json.h the stored form.
  */
 #pragma once
 
