--- a/entry/fleet/instance.c
+++ b/entry/fleet/instance.c
@@ -6,7 +6,7 @@
 #include "base/xmalloc.h"
 #include "entry/fleet/instance.h"
 
-enum { DEFAULT_SLOTS = 1 }; /* of a backend server whose record does not say */
+enum { DEFAULT_SLOTS = 1 }; /* for backend servers without the member */
 
 static bool
 parse_addr(const char *text, addr_t *out)
@@ -15,7 +15,7 @@
 }
 
 static bool
-parse_one(json_t *json, instance_t *out, err_t *err)
+parse_instance(json_t *json, instance_t *out, err_t *err)
 {
     const char *name;
     const char *role;
@@ -43,7 +43,7 @@
         !name_set(&out->place, str_from(place)) || !parse_addr(addr, &out->addr) ||
         !parse_addr(peer, &out->peer) || !parse_addr(admin, &out->admin) ||
         (service != NULL && !name_set(&out->service, str_from(service)))) {
-        err_set(err, ERR_INVALID, "instance %s: a name or an address is not valid", name);
+        err_set(err, ERR_INVALID, "instance %s: invalid name or address", name);
         return false;
     }
     return true;
@@ -55,7 +55,7 @@
     json_error_t jerr;
     json_t *root = json_loadb(json.ptr, json.len, 0, &jerr);
     if (!json_is_array(root)) {
-        err_set(err, ERR_PARSE, "instance list: %s", root == NULL ? jerr.text : "not a list");
+        err_set(err, ERR_PARSE, "instance list: %s", root == NULL ? jerr.text : "not an array");
         json_decref(root);
         return NULL;
     }
@@ -66,7 +66,7 @@
     json_t *item;
     json_array_foreach(root, i, item)
     {
-        if (!parse_one(item, &instances->items[instances->count++], err)) {
+        if (!parse_instance(item, &instances->items[instances->count++], err)) {
             json_decref(root);
             instances_free(instances);
             return NULL;
--- a/entry/gossip_heartbeat.c
+++ b/entry/gossip_heartbeat.c
@@ -36,7 +36,7 @@
     beat->incarnation = node->incarnation;
     beat->sent_ms = now;
     beat->epoch = credit_epoch(node->credit);
-    beat->settled = gate_settled(&node->gate, now);
+    beat->settled = limiter_settled(&node->gate, now);
     beat->usable = credit_usable(node->credit, now);
     beat->in_flight = credit_in_flight(node->credit);
     beat->leaving = node->leaving;
@@ -115,7 +115,7 @@
     const uint64_t now = node_now(node);
     const str_t name = str_from(beat->instance);
     merge_loads(node, beat);
-    if (members_heard(&node->members, name, beat->incarnation, beat->leaving, now)) {
+    if (members_record_message(&node->members, name, beat->incarnation, beat->leaving, now)) {
         member_t *member = members_find(&node->members, name);
         member->stamp_ms = beat->sent_ms;
         member->usable = beat->usable;
--- a/entry/node_state.h
+++ b/entry/node_state.h
@@ -24,7 +24,7 @@
 #include "entry/lookup/steer.h"
 #include "peer/link.h"
 #include "entry/object_store/client.h"
-#include "entry/region/gate.h"
+#include "entry/region/limiter.h"
 #include "entry/region/plan.h"
 #include "entry/request/budget.h"
 #include "entry/request/key.h"
@@ -96,14 +96,14 @@
 
     credit_t *credit;
     planner_t *planner;
-    gate_t gate;
+    limiter_t gate;
     bool plan_in_flight;
 
     backends_t backends;
     steer_t *steer;
     region_entries_t region_entries[TOPOLOGY_REGIONS_MAX];
-    key_book_t *keys;
-    extra_budget_t extra;
+    key_registry_t *keys;
+    attempt_budget_t extra;
     uint64_t turn; /* of round robin */
 
     exchange_t *waiting; /* admitted or not, without a backend server yet; most urgent first */
--- a/entry/path/arrival.c
+++ b/entry/path/arrival.c
@@ -152,7 +152,7 @@
 {
     exchange_t *x = new_exchange(node, req);
     counter_add(node->counters.requests, 1);
-    extra_budget_earn(&node->extra);
+    attempt_budget_deposit(&node->extra);
     const str_t key = http_header(req, STR("idempotency-key"));
     const str_t name = service_of(req);
     service_t *service = steer_find(node->steer, name);
@@ -181,7 +181,7 @@
         return;
     }
     if (x->hop == HOP_CALLER)
-        spill_count(service->request_spill, x->started_ms);
+        spill_record_decision(service->request_spill, x->started_ms);
     if (class_->repeatable || x->hop == HOP_ENTRY)
         route_request(x);
     else
--- a/entry/path/outcome.c
+++ b/entry/path/outcome.c
@@ -36,7 +36,7 @@
         cancel_attempts(x, NULL);
         x->winner = NULL;
         if (x->record != NULL)
-            exchange_set_record(x, x->may_have_run ? KEY_UNKNOWN : KEY_FREE, 0);
+            exchange_set_record(x, x->may_have_run ? KEY_UNKNOWN : KEY_NOT_RUN, 0);
         waiting_remove(x);
     } else if (x->winner != NULL) {
         attempt_resume(x->winner);
@@ -89,7 +89,7 @@
     if (x->filling.len >= BUFFER_HIGH)
         attempt_pause(attempt);
     if (attempt_backend(attempt) != NULL &&
-        !gate_link_charge(&x->node->gate, len, node_now(x->node))) {
+        !limiter_charge_link(&x->node->gate, len, node_now(x->node))) {
         x->paused_by_link = true;
         attempt_pause(attempt);
     }
@@ -153,7 +153,7 @@
     if (x->winner != NULL || exchange_has_attempts(x))
         return;
     x->tried = attempt_backend(attempt);
-    if (may_retry(x, result) && extra_budget_spend(&node->extra)) {
+    if (may_retry(x, result) && attempt_budget_withdraw(&node->extra)) {
         counter_add(node->counters.retries, 1);
         route_request(x);
     } else {
@@ -169,7 +169,7 @@
     exchange_t *x = node->exchanges;
     while (x != NULL) {
         exchange_t *next = x->next;
-        if (x->paused_by_link && gate_link_open(&node->gate, now)) {
+        if (x->paused_by_link && limiter_link_available(&node->gate, now)) {
             x->paused_by_link = false;
             if (x->winner != NULL && x->filling.len < BUFFER_HIGH)
                 attempt_resume(x->winner);
--- a/entry/region/allocation.c
+++ b/entry/region/allocation.c
@@ -6,10 +6,11 @@
 #include "entry/region/allocation.h"
 
 uint32_t
-former_reserve(const former_t *former)
+former_holder_reserve(const former_holder_t *former)
 {
-    return former->stage == FORMER_LONG && former->long_bound > CREDIT_FLOOR ? former->long_bound
-                                                                             : CREDIT_FLOOR;
+    return former->stage == FORMER_HOLDER_LONG_ONLY && former->long_bound > CREDIT_FLOOR
+               ? former->long_bound
+               : CREDIT_FLOOR;
 }
 
 static bool
@@ -33,7 +34,7 @@
                            &quorum_of, "long_bound", &long_bound) != 0 ||
             credits < 0 || quorum_of < 1 || long_bound < 0 ||
             !name_set(&holder->instance, str_from(name))) {
-            err_set(err, ERR_INVALID, "holder %zu is not valid", i);
+            err_set(err, ERR_INVALID, "allocation: holder %zu is invalid", i);
             return false;
         }
         holder->incarnation = (uint64_t)incarnation;
@@ -43,8 +44,8 @@
         sum += holder->credits;
     }
     if (sum > allocation->limit) {
-        err_set(err, ERR_INVALID, "credits add up to %lu, above the limit %u", (unsigned long)sum,
-                allocation->limit);
+        err_set(err, ERR_INVALID, "allocation: credits total %lu, above the limit of %u",
+                (unsigned long)sum, allocation->limit);
         return false;
     }
     return true;
@@ -64,20 +65,20 @@
         int long_bound;
         json_int_t left_epoch;
         int stage;
-        former_t *former = &allocation->formers[allocation->former_count++];
+        former_holder_t *former = &allocation->formers[allocation->former_count++];
         if (json_unpack(item, "{s:s, s:I, s:i, s:i, s:I, s:i}", "instance", &name, "incarnation",
                         &incarnation, "quorum_of", &quorum_of, "long_bound", &long_bound,
                         "left_epoch", &left_epoch, "stage", &stage) != 0 ||
-            quorum_of < 1 || long_bound < 0 || stage < FORMER_RESTING || stage > FORMER_FLOOR ||
-            !name_set(&former->instance, str_from(name))) {
-            err_set(err, ERR_INVALID, "former holder %zu is not valid", i);
+            quorum_of < 1 || long_bound < 0 || stage < FORMER_HOLDER_ACTIVE ||
+            stage > FORMER_HOLDER_FLOOR_ONLY || !name_set(&former->instance, str_from(name))) {
+            err_set(err, ERR_INVALID, "allocation: former holder %zu is invalid", i);
             return false;
         }
         former->incarnation = (uint64_t)incarnation;
         former->quorum_of = (uint32_t)quorum_of;
         former->long_bound = (uint32_t)long_bound;
         former->left_epoch = (uint64_t)left_epoch;
-        former->stage = (former_stage_t)stage;
+        former->stage = (former_holder_stage_t)stage;
     }
     return true;
 }
@@ -100,7 +101,7 @@
     }
     if (!name_set(&allocation->region, str_from(region)) || limit < 0 || limit > UINT32_MAX ||
         json_array_size(holders) > CREDIT_HOLDERS_MAX) {
-        err_set(err, ERR_INVALID, "allocation: region=%s or its limit is not valid", region);
+        err_set(err, ERR_INVALID, "allocation: invalid region or limit, region=%s", region);
         goto err;
     }
     allocation->limit = (uint32_t)limit;
@@ -130,7 +131,7 @@
                                         "long_bound", (int)h->long_bound));
     }
     for (size_t i = 0; i < allocation->former_count; i++) {
-        const former_t *f = &allocation->formers[i];
+        const former_holder_t *f = &allocation->formers[i];
         json_array_append_new(
             formers, json_pack("{s:s, s:I, s:i, s:i, s:I, s:i}", "instance", f->instance.ptr,
                                "incarnation", (json_int_t)f->incarnation, "quorum_of",
--- a/entry/table/table.c
+++ b/entry/table/table.c
@@ -76,7 +76,7 @@
     }
     for (size_t i = 0; i < index; i++) {
         if (name_eq(&table->rows[i].place, name_str(&row->place))) {
-            err_set(err, ERR_INVALID, "row %s: stands twice", row->place.ptr);
+            err_set(err, ERR_INVALID, "row %s: listed twice", row->place.ptr);
             return false;
         }
     }
@@ -93,12 +93,13 @@
         steered = steered || (table->rows[i].weight > 0 && table->rows[i].state == ROW_STEERED);
     }
     if (!steered) {
-        err_set(err, ERR_INVALID, "service %s: no row takes traffic (weight above 0, steered)",
+        err_set(err, ERR_INVALID,
+                "service %s: no row takes traffic: one must be steered with weight above 0",
                 table->service.ptr);
         return false;
     }
     if (table->class_count == 0) {
-        err_set(err, ERR_INVALID, "service %s: no request class", table->service.ptr);
+        err_set(err, ERR_INVALID, "service %s: no request classes", table->service.ptr);
         return false;
     }
     return true;
@@ -148,9 +149,9 @@
 void
 table_remember_edit(table_t *table, const name_t *edit_id)
 {
-    if (table->edit_count == TABLE_EDITS_KEPT) {
+    if (table->edit_count == TABLE_EDITS_MAX) {
         memmove(&table->edits[0], &table->edits[1],
-                (TABLE_EDITS_KEPT - 1) * sizeof(table->edits[0]));
+                (TABLE_EDITS_MAX - 1) * sizeof(table->edits[0]));
         table->edit_count--;
     }
     table->edits[table->edit_count++] = *edit_id;
