--- a/bin/check.c
+++ b/bin/check.c
@@ -17,12 +17,12 @@
 print_verdict(const verdict_t *verdict)
 {
     const char *word = verdict->violations > 0 ? "BROKEN" : verdict->examined > 0 ? "held" : "-";
-    printf("%-7s %9zu %7zu  %s", word, verdict->examined, verdict->violations, verdict->promise);
+    printf("%-7s %9zu %7zu  %s", word, verdict->examined, verdict->violations, verdict->guarantee);
     if (verdict->note[0] != '\0')
         printf(" (%s)", verdict->note);
     putchar('\n');
     if (verdict->violations > 0)
-        printf("        first: %s\n", verdict->first);
+        printf("        first: %s\n", verdict->first_violation);
     if (verdict->examined == 0)
         printf("        nothing examined: this run proves nothing about it\n");
 }
@@ -49,7 +49,7 @@
            events.bad_lines, "", "examined", "broken");
     int status = EXIT_SUCCESS;
     for (size_t i = 0; i < ALEN(rules); i++) {
-        verdict_t verdict = {.promise = ""};
+        verdict_t verdict = {.guarantee = ""};
         rules[i](&events, &verdict);
         print_verdict(&verdict);
         if (verdict.violations > 0)
--- a/check/config.c
+++ b/check/config.c
@@ -11,7 +11,7 @@
 void
 rule_no_revert(const events_t *events, verdict_t *verdict)
 {
-    verdict->promise = "configuration in force never reverts";
+    verdict->guarantee = "configuration in force never reverts";
     index_t pairs = {0};
     uint64_t *newest = xcalloc(PAIRS_MAX, sizeof(*newest));
     for (size_t i = 0; i < events->count; i++) {
@@ -24,15 +24,15 @@
             snprintf(pair, sizeof(pair), "%s decides on %s", event->entry, event->service);
         else
             continue;
-        const size_t at = index_of(&pairs, pair);
+        const size_t at = index_intern(&pairs, pair);
         if (at >= PAIRS_MAX)
             continue;
         verdict->examined++;
         const bool older =
             event->type == EV_ADOPT ? event->version <= newest[at] : event->version < newest[at];
         if (older)
-            verdict_break(verdict, "%s: version %lu after %lu", pair, (unsigned long)event->version,
-                          (unsigned long)newest[at]);
+            verdict_add_violation(verdict, "%s: version %lu after %lu", pair,
+                                  (unsigned long)event->version, (unsigned long)newest[at]);
         newest[at] = event->version > newest[at] ? event->version : newest[at];
     }
     free(newest);
@@ -55,7 +55,8 @@
 
 /* Time from acceptance to force, at every entry that was running. */
 static void
-note_times(const events_t *events, const accepted_t *accepted, size_t count, verdict_t *verdict)
+summarize_adoption_times(const events_t *events, const accepted_t *accepted, size_t count,
+                         verdict_t *verdict)
 {
     uint64_t *times = xcalloc(events->count, sizeof(*times));
     size_t n = 0;
@@ -83,7 +84,7 @@
 void
 rule_in_force(const events_t *events, verdict_t *verdict)
 {
-    verdict->promise = "an accepted change is in force within 17 s";
+    verdict->guarantee = "an accepted change is in force within 17 s";
     accepted_t *accepted = xcalloc(VERSIONS_MAX, sizeof(*accepted));
     size_t count = 0;
     for (size_t i = 0; i < events->count; i++) {
@@ -101,14 +102,14 @@
                 if (event->version >= change->version)
                     break;
                 if (event->t > change->t + (uint64_t)FORCE_LIMIT_S * US_PER_S)
-                    verdict_break(verdict, "%s decides on version %lu %.1f s after %lu",
-                                  event->entry, (unsigned long)event->version,
-                                  (double)(event->t - change->t) / US_PER_S,
-                                  (unsigned long)change->version);
+                    verdict_add_violation(verdict, "%s decides on version %lu %.1f s after %lu",
+                                          event->entry, (unsigned long)event->version,
+                                          (double)(event->t - change->t) / US_PER_S,
+                                          (unsigned long)change->version);
             }
         }
     }
-    note_times(events, accepted, count, verdict);
+    summarize_adoption_times(events, accepted, count, verdict);
     free(accepted);
 }
 
@@ -136,7 +137,7 @@
 void
 rule_edits(const events_t *events, verdict_t *verdict)
 {
-    verdict->promise = "operators are told the true outcome of their edits";
+    verdict->guarantee = "operators are told the true outcome of their edits";
     for (size_t i = 0; i < events->count; i++) {
         const event_t *event = &events->items[i];
         if (event->type != EV_EDIT)
@@ -146,7 +147,7 @@
         const bool applied = strcmp(event->result, "applied") == 0;
         const bool unknown = strcmp(event->result, "unknown") == 0;
         if (times > 1 || (applied && times == 0) || (!applied && !unknown && times > 0))
-            verdict_break(verdict, "edit %s was told %s and stands in the store %zu times",
-                          event->id, event->result, times);
+            verdict_add_violation(verdict, "edit %s was told %s and stands in the store %zu times",
+                                  event->id, event->result, times);
     }
 }
--- a/check/events.c
+++ b/check/events.c
@@ -32,7 +32,7 @@
 };
 
 static event_type_t
-type_of(const char *name)
+event_type_from_name(const char *name)
 {
     for (size_t i = 0; name != NULL && i < ALEN(types); i++) {
         if (strcmp(types[i].name, name) == 0)
@@ -74,13 +74,13 @@
 add_event(events_t *events, const json_t *root)
 {
     if ((events->count & (events->count - 1)) == 0) {
-        const size_t room = events->count == 0 ? 1 : events->count * 2;
-        events->items = xrealloc(events->items, room * sizeof(*events->items));
+        const size_t capacity = events->count == 0 ? 1 : events->count * 2;
+        events->items = xrealloc(events->items, capacity * sizeof(*events->items));
     }
     event_t *event = &events->items[events->count];
     *event = (event_t){.t = number(root, "t"),
                        .order = events->count,
-                       .type = type_of(json_string_value(json_object_get(root, "ev"))),
+                       .type = event_type_from_name(json_string_value(json_object_get(root, "ev"))),
                        .id = intern(events, root, "id"),
                        .key = intern(events, root, "key"),
                        .class_ = intern(events, root, "class"),
@@ -128,7 +128,7 @@
 }
 
 static int
-compare(const void *a, const void *b)
+compare_by_time(const void *a, const void *b)
 {
     const event_t *left = a;
     const event_t *right = b;
@@ -141,7 +141,7 @@
 events_sort(events_t *events)
 {
     if (events->count > 0)
-        qsort(events->items, events->count, sizeof(*events->items), compare);
+        qsort(events->items, events->count, sizeof(*events->items), compare_by_time);
 }
 
 void
--- a/check/leaving.c
+++ b/check/leaving.c
@@ -18,24 +18,24 @@
     US_PER_S = 1000000,
     /* A list that stood for longer before an outage counts from its change, whoever read it: the
      * instances that follow it read it every 1 to 3 s. Seen: 17 ms. Chosen, not measured. */
-    MOMENT_US = 100000,
+    UNREAD_MAX_US = 100000,
 };
 
-typedef enum { SAID_BY_SERVER, SAID_BY_LIST, SAID_BY_TABLE, SOURCES } source_t;
+typedef enum { LEAVING_BY_SERVER, LEAVING_BY_LIST, LEAVING_BY_TABLE, SOURCE_COUNT } source_t;
 
 typedef struct {
     index_t servers;
-    uint64_t since[SERVERS_MAX][SOURCES]; /* 0: not said to be leaving */
-    uint64_t version[SERVERS_MAX];        /* of the list that says so */
-    bool adopted[SERVERS_MAX];            /* that list or a later one, by any instance */
-    bool unread[SERVERS_MAX];             /* the list says so, and nobody could read it until now */
+    uint64_t since[SERVERS_MAX][SOURCE_COUNT]; /* 0: not said to be leaving */
+    uint64_t version[SERVERS_MAX];             /* of the list that says so */
+    bool adopted[SERVERS_MAX];                 /* that list or a later one, by any instance */
+    bool unread[SERVERS_MAX]; /* the list says so, and nobody could read it until now */
     bool outage;
 } leaving_t;
 
 static void
-say(leaving_t *leaving, const char *server, source_t source, bool is_leaving, uint64_t t)
+set_leaving(leaving_t *leaving, const char *server, source_t source, bool is_leaving, uint64_t t)
 {
-    const size_t at = index_of(&leaving->servers, server);
+    const size_t at = index_intern(&leaving->servers, server);
     if (at >= SERVERS_MAX)
         return;
     uint64_t *since = &leaving->since[at][source];
@@ -46,13 +46,13 @@
 }
 
 static void
-read_instance(leaving_t *leaving, const event_t *event)
+apply_instance(leaving_t *leaving, const event_t *event)
 {
     const bool is_leaving = strcmp(event->result, "live") != 0;
-    const size_t at = index_of(&leaving->servers, event->name);
-    if (at >= SERVERS_MAX || (is_leaving && leaving->since[at][SAID_BY_LIST] != 0))
+    const size_t at = index_intern(&leaving->servers, event->name);
+    if (at >= SERVERS_MAX || (is_leaving && leaving->since[at][LEAVING_BY_LIST] != 0))
         return;
-    say(leaving, event->name, SAID_BY_LIST, is_leaving, event->t);
+    set_leaving(leaving, event->name, LEAVING_BY_LIST, is_leaving, event->t);
     leaving->version[at] = event->version;
     leaving->adopted[at] = false;
     leaving->unread[at] = is_leaving && leaving->outage;
@@ -66,14 +66,14 @@
 
 /* An instance put a list in force. A change recorded without its list's version is in each list. */
 static void
-read_adoption(leaving_t *leaving, const event_t *event)
+apply_adoption(leaving_t *leaving, const event_t *event)
 {
     for (size_t i = 0; i < server_count(leaving); i++) {
         if (event->version < leaving->version[i])
             continue;
         leaving->adopted[i] = true;
         if (leaving->unread[i])
-            leaving->since[i][SAID_BY_LIST] = event->t;
+            leaving->since[i][LEAVING_BY_LIST] = event->t;
         leaving->unread[i] = false;
     }
 }
@@ -86,9 +86,9 @@
         return;
     leaving->outage = outage;
     for (size_t i = 0; i < server_count(leaving); i++) {
-        uint64_t *since = &leaving->since[i][SAID_BY_LIST];
+        uint64_t *since = &leaving->since[i][LEAVING_BY_LIST];
         if (outage)
-            leaving->unread[i] = *since != 0 && !leaving->adopted[i] && t - *since <= MOMENT_US;
+            leaving->unread[i] = *since != 0 && !leaving->adopted[i] && t - *since <= UNREAD_MAX_US;
         else if (leaving->unread[i])
             *since = t;
         leaving->unread[i] &= outage;
@@ -96,7 +96,7 @@
 }
 
 static bool
-lists(const json_t *list, const char *name)
+array_contains(const json_t *list, const char *name)
 {
     for (size_t i = 0; i < json_array_size(list); i++) {
         if (strcmp(json_string_value(json_array_get(list, i)), name) == 0)
@@ -107,17 +107,17 @@
 
 /* A table lists only servers of its own service, which are named after it. */
 static void
-read_table(leaving_t *leaving, const event_t *event)
+apply_table(leaving_t *leaving, const event_t *event)
 {
     const json_t *list = json_object_get(event->value, "draining");
     for (size_t i = 0; i < json_array_size(list); i++)
-        index_of(&leaving->servers, json_string_value(json_array_get(list, i)));
+        index_intern(&leaving->servers, json_string_value(json_array_get(list, i)));
     const char *server;
     json_t *unused;
     json_object_foreach(leaving->servers.map, server, unused)
     {
         if (strncmp(server, event->name, strlen(event->name)) == 0)
-            say(leaving, server, SAID_BY_TABLE, lists(list, server), event->t);
+            set_leaving(leaving, server, LEAVING_BY_TABLE, array_contains(list, server), event->t);
     }
 }
 
@@ -125,9 +125,9 @@
 leaving_since(const leaving_t *leaving, size_t server)
 {
     uint64_t first = 0;
-    for (size_t s = 0; s < SOURCES; s++) {
+    for (size_t s = 0; s < SOURCE_COUNT; s++) {
         const uint64_t since = leaving->since[server][s];
-        if (s == SAID_BY_LIST && leaving->unread[server])
+        if (s == LEAVING_BY_LIST && leaving->unread[server])
             continue;
         if (since != 0 && (first == 0 || since < first))
             first = since;
@@ -138,23 +138,23 @@
 void
 rule_leaving(const events_t *events, verdict_t *verdict)
 {
-    verdict->promise = "a leaving backend server gets no new work after 5 s";
+    verdict->guarantee = "a leaving backend server gets no new work after 5 s";
     leaving_t *leaving = xcalloc(1, sizeof(*leaving));
     uint64_t latest = 0;
     for (size_t i = 0; i < events->count; i++) {
         const event_t *event = &events->items[i];
         if (event->type == EV_UPSTREAM) {
-            say(leaving, event->upstream, SAID_BY_SERVER, event->number != 0, event->t);
+            set_leaving(leaving, event->upstream, LEAVING_BY_SERVER, event->number != 0, event->t);
         } else if (event->type == EV_INSTANCE) {
-            read_instance(leaving, event);
+            apply_instance(leaving, event);
         } else if (event->type == EV_ADOPT && strcmp(event->kind, "instances") == 0) {
-            read_adoption(leaving, event);
+            apply_adoption(leaving, event);
         } else if (event->type == EV_STORE_WRITE && strcmp(event->kind, "table") == 0) {
-            read_table(leaving, event);
+            apply_table(leaving, event);
         } else if (event->type == EV_STORE_CONTROL) {
             set_outage(leaving, event->number != 0, event->t);
         } else if (event->type == EV_ENTER) {
-            const size_t at = index_of(&leaving->servers, event->upstream);
+            const size_t at = index_intern(&leaving->servers, event->upstream);
             const uint64_t since = at < SERVERS_MAX ? leaving_since(leaving, at) : 0;
             if (since == 0)
                 continue;
@@ -162,8 +162,8 @@
             const uint64_t after = event->t - since;
             latest = after > latest ? after : latest;
             if (after > (uint64_t)LEAVING_LIMIT_S * US_PER_S)
-                verdict_break(verdict, "%s got request %s %.1f s after it began to leave",
-                              event->upstream, event->id, (double)after / US_PER_S);
+                verdict_add_violation(verdict, "%s got request %s %.1f s after it began to leave",
+                                      event->upstream, event->id, (double)after / US_PER_S);
         }
     }
     snprintf(verdict->note, sizeof(verdict->note), "latest new work after %.2f s",
--- a/check/limits.c
+++ b/check/limits.c
@@ -12,28 +12,28 @@
 
 /* Limit of a region or row over time; 0 means none. */
 typedef struct {
-    uint64_t present;
-    uint64_t loosest_before; /* greatest of the versions still allowed to be in force */
+    uint64_t current;
+    uint64_t previous_max; /* greatest of the versions still allowed to be in force */
     uint64_t changed_us;
 } limit_t;
 
 static void
 set_limit(limit_t *limit, uint64_t value, uint64_t t)
 {
-    const bool old_ended = t > limit->changed_us + (uint64_t)FORCE_LIMIT_S * US_PER_S;
-    const uint64_t before = limit->present == 0 ? UINT64_MAX : limit->present;
-    limit->loosest_before =
-        old_ended || before > limit->loosest_before ? before : limit->loosest_before;
-    limit->present = value;
+    const bool previous_expired = t > limit->changed_us + (uint64_t)FORCE_LIMIT_S * US_PER_S;
+    const uint64_t before = limit->current == 0 ? UINT64_MAX : limit->current;
+    limit->previous_max =
+        previous_expired || before > limit->previous_max ? before : limit->previous_max;
+    limit->current = value;
     limit->changed_us = t;
 }
 
 static uint64_t
 allowed(const limit_t *limit, uint64_t t)
 {
-    const uint64_t now = limit->present == 0 ? UINT64_MAX : limit->present;
-    const bool settled = t > limit->changed_us + (uint64_t)FORCE_LIMIT_S * US_PER_S;
-    return settled || now > limit->loosest_before ? now : limit->loosest_before;
+    const uint64_t now = limit->current == 0 ? UINT64_MAX : limit->current;
+    const bool is_final = t > limit->changed_us + (uint64_t)FORCE_LIMIT_S * US_PER_S;
+    return is_final || now > limit->previous_max ? now : limit->previous_max;
 }
 
 static void
@@ -57,7 +57,7 @@
     {
         char key[KEY_SIZE];
         row_key(key, event->name, json_string_value(json_object_get(row, "place")));
-        const size_t at = index_of(index, key);
+        const size_t at = index_intern(index, key);
         if (at < KEYS_MAX)
             set_limit(&limits[at], member(row, column), event->t);
     }
@@ -67,13 +67,13 @@
     index_t index;
     limit_t limits[KEYS_MAX];
     uint64_t in_flight[KEYS_MAX];
-    uint64_t most[KEYS_MAX];
-} flight_t;
+    uint64_t peak[KEYS_MAX];
+} in_flight_t;
 
 static void
-count_event(flight_t *flight, const event_t *event, const char *key, verdict_t *verdict)
+count_event(in_flight_t *flight, const event_t *event, const char *key, verdict_t *verdict)
 {
-    const size_t at = index_of(&flight->index, key);
+    const size_t at = index_intern(&flight->index, key);
     if (at >= KEYS_MAX)
         return;
     if (event->type == EV_LEAVE) {
@@ -83,38 +83,39 @@
     }
     verdict->examined++;
     const uint64_t now = ++flight->in_flight[at];
-    if (now > flight->most[at])
-        flight->most[at] = now;
+    if (now > flight->peak[at])
+        flight->peak[at] = now;
     if (now > allowed(&flight->limits[at], event->t))
-        verdict_break(verdict, "%s: %lu in flight, limit %lu, request %s", key, (unsigned long)now,
-                      (unsigned long)allowed(&flight->limits[at], event->t), event->id);
+        verdict_add_violation(verdict, "%s: %lu in flight, limit %lu, request %s", key,
+                              (unsigned long)now,
+                              (unsigned long)allowed(&flight->limits[at], event->t), event->id);
 }
 
 static void
-note_most(const flight_t *flight, verdict_t *verdict)
+summarize_peak(const in_flight_t *flight, verdict_t *verdict)
 {
-    uint64_t most = 0;
+    uint64_t peak = 0;
     for (size_t i = 0; i < flight->index.count && i < KEYS_MAX; i++)
-        most = flight->most[i] > most ? flight->most[i] : most;
-    snprintf(verdict->note, sizeof(verdict->note), "most at once: %lu", (unsigned long)most);
+        peak = flight->peak[i] > peak ? flight->peak[i] : peak;
+    snprintf(verdict->note, sizeof(verdict->note), "most at once: %lu", (unsigned long)peak);
 }
 
 void
 rule_region_limit(const events_t *events, verdict_t *verdict)
 {
-    verdict->promise = "a region's limit of requests in flight";
-    flight_t *flight = xcalloc(1, sizeof(*flight));
+    verdict->guarantee = "a region's limit of requests in flight";
+    in_flight_t *flight = xcalloc(1, sizeof(*flight));
     for (size_t i = 0; i < events->count; i++) {
         const event_t *event = &events->items[i];
         if (event->type == EV_STORE_WRITE && strcmp(event->kind, "region") == 0) {
-            const size_t at = index_of(&flight->index, event->name);
+            const size_t at = index_intern(&flight->index, event->name);
             if (at < KEYS_MAX)
                 set_limit(&flight->limits[at], member(event->value, "limit"), event->t);
         } else if (event->type == EV_ENTER || event->type == EV_LEAVE) {
             count_event(flight, event, event->region, verdict);
         }
     }
-    note_most(flight, verdict);
+    summarize_peak(flight, verdict);
     index_free(&flight->index);
     free(flight);
 }
@@ -122,8 +123,8 @@
 void
 rule_row_limit(const events_t *events, verdict_t *verdict)
 {
-    verdict->promise = "a row's limit of requests in flight";
-    flight_t *flight = xcalloc(1, sizeof(*flight));
+    verdict->guarantee = "a row's limit of requests in flight";
+    in_flight_t *flight = xcalloc(1, sizeof(*flight));
     for (size_t i = 0; i < events->count; i++) {
         const event_t *event = &events->items[i];
         char key[KEY_SIZE];
@@ -134,7 +135,7 @@
             count_event(flight, event, key, verdict);
         }
     }
-    note_most(flight, verdict);
+    summarize_peak(flight, verdict);
     index_free(&flight->index);
     free(flight);
 }
@@ -142,7 +143,7 @@
 void
 rule_row_rate(const events_t *events, verdict_t *verdict)
 {
-    verdict->promise = "a row's rate of requests";
+    verdict->guarantee = "a row's rate of requests";
     index_t index = {0};
     limit_t *limits = xcalloc(KEYS_MAX, sizeof(*limits));
     uint64_t *bin = xcalloc(KEYS_MAX, sizeof(*bin));
@@ -155,17 +156,18 @@
             continue;
         char key[KEY_SIZE];
         row_key(key, event->service, event->place);
-        const size_t at = index_of(&index, key);
+        const size_t at = index_intern(&index, key);
         if (at >= KEYS_MAX || allowed(&limits[at], event->t) == UINT64_MAX)
             continue;
         const uint64_t now = event->t / ((uint64_t)RATE_WINDOW_S * US_PER_S);
         count[at] = now == bin[at] ? count[at] + 1 : 1;
         bin[at] = now;
         verdict->examined++;
-        const double most = (double)allowed(&limits[at], event->t) * RATE_WINDOW_S * RATE_SLACK + 1;
-        if ((double)count[at] > most)
-            verdict_break(verdict, "%s: %lu requests in %d s, limit %.0f", key,
-                          (unsigned long)count[at], RATE_WINDOW_S, most);
+        const double max_count =
+            (double)allowed(&limits[at], event->t) * RATE_WINDOW_S * RATE_SLACK + 1;
+        if ((double)count[at] > max_count)
+            verdict_add_violation(verdict, "%s: %lu requests in %d s, limit %.0f", key,
+                                  (unsigned long)count[at], RATE_WINDOW_S, max_count);
     }
     free(limits);
     free(bin);
@@ -176,8 +178,8 @@
 void
 rule_extra_requests(const events_t *events, verdict_t *verdict)
 {
-    static const double most = 1.1;
-    verdict->promise = "requests at backend servers stay below 1.1 of the callers'";
+    static const double max_ratio = 1.1;
+    verdict->guarantee = "requests at backend servers stay below 1.1 of the callers'";
     size_t sent = 0;
     size_t entered = 0;
     for (size_t i = 0; i < events->count; i++) {
@@ -186,6 +188,6 @@
     }
     verdict->examined = entered;
     snprintf(verdict->note, sizeof(verdict->note), "%zu for %zu", entered, sent);
-    if (sent > 0 && (double)entered > most * (double)sent + 20)
-        verdict_break(verdict, "%zu requests entered for %zu sent", entered, sent);
+    if (sent > 0 && (double)entered > max_ratio * (double)sent + 20)
+        verdict_add_violation(verdict, "%zu requests entered for %zu sent", entered, sent);
 }
--- a/check/outcomes.c
+++ b/check/outcomes.c
@@ -9,7 +9,7 @@
 void
 rule_whole_answers(const events_t *events, verdict_t *verdict)
 {
-    verdict->promise = "every caller gets the whole answer to its own request";
+    verdict->guarantee = "every caller gets the whole answer to its own request";
     size_t broken = 0;
     for (size_t i = 0; i < events->count; i++) {
         const event_t *event = &events->items[i];
@@ -18,7 +18,7 @@
         verdict->examined++;
         broken += strcmp(event->result, "broken") == 0;
         if (strcmp(event->result, "wrong") == 0)
-            verdict_break(verdict, "request %s got a wrong answer", event->id);
+            verdict_add_violation(verdict, "request %s got a wrong answer", event->id);
     }
     snprintf(verdict->note, sizeof(verdict->note), "seen as broken by their callers: %zu", broken);
 }
@@ -30,7 +30,7 @@
     index_t started = {0};
     for (size_t i = 0; i < events->count; i++) {
         if (events->items[i].type == EV_RUN_START)
-            index_of(&started, events->items[i].id);
+            index_intern(&started, events->items[i].id);
     }
     return started;
 }
@@ -38,7 +38,7 @@
 void
 rule_not_run(const events_t *events, verdict_t *verdict)
 {
-    verdict->promise = "told not run means not run";
+    verdict->guarantee = "told not run means not run";
     index_t started = started_ids(events);
     for (size_t i = 0; i < events->count; i++) {
         const event_t *event = &events->items[i];
@@ -46,7 +46,7 @@
             continue;
         verdict->examined++;
         if (index_find(&started, event->id) != SIZE_MAX)
-            verdict_break(verdict, "request %s of class %s ran", event->id, event->class_);
+            verdict_add_violation(verdict, "request %s of class %s ran", event->id, event->class_);
     }
     index_free(&started);
 }
@@ -54,7 +54,7 @@
 void
 rule_at_most_once(const events_t *events, verdict_t *verdict)
 {
-    verdict->promise = "a keyed request runs at most once";
+    verdict->guarantee = "a keyed request runs at most once";
     index_t keys = {0};
     for (size_t i = 0; i < events->count; i++) {
         const event_t *event = &events->items[i];
@@ -62,9 +62,9 @@
             continue;
         verdict->examined++;
         if (index_find(&keys, event->key) != SIZE_MAX)
-            verdict_break(verdict, "key %s ran again as request %s at %s", event->key, event->id,
-                          event->upstream);
-        index_of(&keys, event->key);
+            verdict_add_violation(verdict, "key %s ran again as request %s at %s", event->key,
+                                  event->id, event->upstream);
+        index_intern(&keys, event->key);
     }
     index_free(&keys);
 }
@@ -72,13 +72,13 @@
 /* A planned stop that ran to its end without being paused on the way. */
 typedef struct {
     const char *entry;
-    uint64_t born; /* start of its life, 0 if before the record */
+    uint64_t started; /* start of its life, 0 if before the record */
     uint64_t from;
     uint64_t to;
-} stop_t;
+} planned_stop_t;
 
 static bool
-disturbed(const events_t *events, const stop_t *stop)
+interrupted(const events_t *events, const planned_stop_t *stop)
 {
     for (size_t i = 0; i < events->count; i++) {
         const event_t *event = &events->items[i];
@@ -91,24 +91,24 @@
 }
 
 static size_t
-find_stops(const events_t *events, stop_t *stops, size_t room)
+find_stops(const events_t *events, planned_stop_t *stops, size_t capacity)
 {
     size_t count = 0;
     for (size_t i = 0; i < events->count; i++) {
         if (events->items[i].type != EV_ENTRY_STOPPED)
             continue;
-        stop_t stop = {.entry = events->items[i].entry, .to = events->items[i].t};
+        planned_stop_t stop = {.entry = events->items[i].entry, .to = events->items[i].t};
         for (size_t j = i; j-- > 0 && stop.from == 0;) {
             const event_t *event = &events->items[j];
             if (event->type == EV_ENTRY_LEAVE && strcmp(event->entry, stop.entry) == 0)
                 stop.from = event->t;
         }
-        for (size_t j = i; j-- > 0 && stop.born == 0;) {
+        for (size_t j = i; j-- > 0 && stop.started == 0;) {
             const event_t *event = &events->items[j];
             if (event->type == EV_ENTRY_START && strcmp(event->entry, stop.entry) == 0)
-                stop.born = event->t;
+                stop.started = event->t;
         }
-        if (stop.from != 0 && count < room && !disturbed(events, &stop))
+        if (stop.from != 0 && count < capacity && !interrupted(events, &stop))
             stops[count++] = stop;
     }
     return count;
@@ -116,10 +116,10 @@
 
 /* The stop that an entry's event belongs to: in its last life before the stop ended. */
 static size_t
-stop_of(const stop_t *stops, size_t count, const event_t *event)
+find_stop(const planned_stop_t *stops, size_t count, const event_t *event)
 {
     for (size_t i = 0; i < count; i++) {
-        if (strcmp(stops[i].entry, event->entry) == 0 && event->t >= stops[i].born &&
+        if (strcmp(stops[i].entry, event->entry) == 0 && event->t >= stops[i].started &&
             event->t <= stops[i].to)
             return i;
     }
@@ -128,14 +128,14 @@
 
 /* Ids that their backend server itself cut off. */
 static index_t
-cut_by_servers(const events_t *events)
+ids_cut_by_servers(const events_t *events)
 {
     index_t ids = {0};
     for (size_t i = 0; i < events->count; i++) {
         const event_t *event = &events->items[i];
         if (event->type == EV_RUN_END &&
             (strcmp(event->result, "cut") == 0 || strcmp(event->result, "deadline") == 0))
-            index_of(&ids, event->id);
+            index_intern(&ids, event->id);
     }
     return ids;
 }
@@ -152,28 +152,28 @@
 rule_planned_stop(const events_t *events, verdict_t *verdict)
 {
     enum { STOPS_MAX = 256 };
-    verdict->promise = "a planned stop cuts off nothing in flight";
-    stop_t stops[STOPS_MAX];
+    verdict->guarantee = "a planned stop cuts off nothing in flight";
+    planned_stop_t stops[STOPS_MAX];
     const size_t count = find_stops(events, stops, STOPS_MAX);
-    index_t excused = cut_by_servers(events);
-    json_t *carried = json_object(); /* ids admitted so far by an entry that stops: its stop */
+    index_t cut_ids = ids_cut_by_servers(events);
+    json_t *admitted = json_object(); /* ids admitted so far by an entry that stops: its stop */
     for (size_t i = 0; i < events->count; i++) {
         const event_t *event = &events->items[i];
         if (event->type == EV_ADMIT) {
-            const size_t stop = stop_of(stops, count, event);
+            const size_t stop = find_stop(stops, count, event);
             if (stop != SIZE_MAX)
-                json_object_set_new(carried, event->id, json_integer((json_int_t)stop));
+                json_object_set_new(admitted, event->id, json_integer((json_int_t)stop));
             continue;
         }
-        const json_t *stop = event->type == EV_RECV ? json_object_get(carried, event->id) : NULL;
+        const json_t *stop = event->type == EV_RECV ? json_object_get(admitted, event->id) : NULL;
         if (stop == NULL || event->t < stops[json_integer_value(stop)].from)
             continue;
         verdict->examined++;
-        if (is_cut(event) && index_find(&excused, event->id) == SIZE_MAX)
-            verdict_break(verdict, "request %s was in flight and is %s at its caller", event->id,
-                          event->result);
+        if (is_cut(event) && index_find(&cut_ids, event->id) == SIZE_MAX)
+            verdict_add_violation(verdict, "request %s was in flight and is %s at its caller",
+                                  event->id, event->result);
     }
     snprintf(verdict->note, sizeof(verdict->note), "undisturbed planned stops: %zu", count);
-    json_decref(carried);
-    index_free(&excused);
+    json_decref(admitted);
+    index_free(&cut_ids);
 }
--- a/check/rules.h
+++ b/check/rules.h
@@ -7,11 +7,11 @@
 #include "check/events.h"
 
 typedef struct {
-    const char *promise;
+    const char *guarantee;
     size_t examined;
     size_t violations;
-    char first[256]; /* the first offending event, in words */
-    char note[160];  /* a figure worth knowing, e.g. the greatest value seen */
+    char first_violation[256]; /* the first offending event, in words */
+    char note[160];            /* a figure worth knowing, e.g. the greatest value seen */
 } verdict_t;
 
 typedef void (*rule_t)(const events_t *events, verdict_t *verdict);
@@ -34,7 +34,8 @@
 void rule_extra_requests(const events_t *events, verdict_t *verdict);
 
 /* Helpers shared by the rules. */
-void verdict_break(verdict_t *verdict, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+void verdict_add_violation(verdict_t *verdict, const char *fmt, ...)
+    __attribute__((format(printf, 2, 3)));
 
 /* A map from text to an index, 0, 1, 2, ... in order of first use. */
 typedef struct {
@@ -42,7 +43,7 @@
     size_t count;
 } index_t;
 
-size_t index_of(index_t *index, const char *text);
+size_t index_intern(index_t *index, const char *text);
 /* SIZE_MAX if the text was never added. */
 size_t index_find(const index_t *index, const char *text);
 void index_free(index_t *index);
--- a/check/shift.c
+++ b/check/shift.c
@@ -31,7 +31,7 @@
 static row_t *
 find_row(shift_t *shift, const char *service, const char *place)
 {
-    const size_t index = index_of(&shift->services, service);
+    const size_t index = index_intern(&shift->services, service);
     for (size_t i = 0; i < shift->row_count; i++) {
         if (shift->rows[i].service == index && strcmp(shift->rows[i].place, place) == 0)
             return &shift->rows[i];
@@ -72,14 +72,14 @@
 {
     const size_t bin = bin_of(shift, event->t);
     if (event->type == EV_SEND) {
-        const size_t service = index_of(&shift->services, event->service);
+        const size_t service = index_intern(&shift->services, event->service);
         if (service >= SERVICES_MAX)
             return;
         if (shift->sends[service] == NULL)
             shift->sends[service] = xcalloc(shift->bins, sizeof(**shift->sends));
         shift->sends[service][bin]++;
     } else if (index_find(seen, event->id) == SIZE_MAX) { /* not a retry or a hedge */
-        index_of(seen, event->id);
+        index_intern(seen, event->id);
         row_t *row = find_row(shift, event->service, event->place);
         if (row != NULL)
             row->starts[bin]++;
@@ -103,14 +103,14 @@
     if (rise > *greatest)
         *greatest = rise;
     if (rise > row->cap + noise)
-        verdict_break(verdict, "%s: %.1f points in %zu s, cap %.1f, noise %.1f", row->place, rise,
-                      (late - early) * BIN_S, row->cap, noise);
+        verdict_add_violation(verdict, "%s: %.1f points in %zu s, cap %.1f, noise %.1f", row->place,
+                              rise, (late - early) * BIN_S, row->cap, noise);
 }
 
 void
 rule_shift_cap(const events_t *events, verdict_t *verdict)
 {
-    verdict->promise = "a shift's cap";
+    verdict->guarantee = "a shift's cap";
     if (events->count == 0)
         return;
     shift_t *shift = xcalloc(1, sizeof(*shift));
--- a/check/verdict.c
+++ b/check/verdict.c
@@ -4,13 +4,13 @@
 #include "check/rules.h"
 
 void
-verdict_break(verdict_t *verdict, const char *fmt, ...)
+verdict_add_violation(verdict_t *verdict, const char *fmt, ...)
 {
     if (verdict->violations++ > 0)
         return;
     va_list args;
     va_start(args, fmt);
-    vsnprintf(verdict->first, sizeof(verdict->first), fmt, args);
+    vsnprintf(verdict->first_violation, sizeof(verdict->first_violation), fmt, args);
     va_end(args);
 }
 
@@ -22,7 +22,7 @@
 }
 
 size_t
-index_of(index_t *index, const char *text)
+index_intern(index_t *index, const char *text)
 {
     if (index->map == NULL)
         index->map = json_object();
--- a/test/test_check.c
+++ b/test/test_check.c
@@ -32,7 +32,7 @@
     "{\"t\":" t ",\"ev\":\"lookup\",\"entry\":\"x\",\"service\":\"s\",\"version\":" version "}\n"
 #define EDIT(id, result)                                                                           \
     "{\"t\":9,\"ev\":\"edit\",\"id\":\"" id "\",\"service\":\"s\",\"result\":\"" result "\"}\n"
-#define STOP                                                                                       \
+#define PLANNED_STOP                                                                               \
     "{\"t\":1,\"ev\":\"entry_leave\",\"entry\":\"x\"}\n"                                           \
     "{\"t\":2,\"ev\":\"admit\",\"entry\":\"x\",\"id\":\"a\"}\n"                                    \
     "{\"t\":3,\"ev\":\"run_end\",\"id\":\"a\",\"result\":\"done\"}\n"                              \
@@ -42,13 +42,14 @@
  */
 #define ABANDONED_BEFORE_STOP                                                                      \
     "{\"t\":1,\"ev\":\"entry_leave\",\"entry\":\"x\"}\n" RECV(                                     \
-        "2", "b", "unknown") "{\"t\":3,\"ev\":\"admit\",\"entry\":\"x\",\"id\":\"b\"}\n" STOP
+        "2", "b",                                                                                  \
+        "unknown") "{\"t\":3,\"ev\":\"admit\",\"entry\":\"x\",\"id\":\"b\"}\n" PLANNED_STOP
 
 static const struct {
     rule_t rule;
     const char *good;
     const char *bad;
-    const char *setting;
+    const char *setup;
 } cases[] = {
     {rule_region_limit, ENTER("2", "a") LEAVE("3", "a") ENTER("4", "b"),
      ENTER(S(30), "a") ENTER(S(31), "b"), region_write},
@@ -63,11 +64,14 @@
     {rule_at_most_once, START("1", "a", "k") START("2", "b", "l"),
      START("1", "a", "k") START("2", "b", "k"), ""},
     {rule_leaving, ENTER("100", "a"), ENTER(S(9), "a"), table_write},
-    {rule_planned_stop, STOP RECV("5", "a", "whole"), STOP RECV("5", "a", "broken"), ""},
-    {rule_planned_stop, STOP RECV("5", "a", "whole"), STOP RECV("15", "a", "unknown"), ""},
+    {rule_planned_stop, PLANNED_STOP RECV("5", "a", "whole"), PLANNED_STOP RECV("5", "a", "broken"),
+     ""},
+    {rule_planned_stop, PLANNED_STOP RECV("5", "a", "whole"),
+     PLANNED_STOP RECV("15", "a", "unknown"), ""},
     {rule_planned_stop, ABANDONED_BEFORE_STOP RECV("5", "a", "whole"),
      ABANDONED_BEFORE_STOP RECV("5", "a", "unknown"), ""},
-    {rule_planned_stop, STOP RECV("5", "a", "whole"), STOP RECV("2", "a", "broken"), ""},
+    {rule_planned_stop, PLANNED_STOP RECV("5", "a", "whole"), PLANNED_STOP RECV("2", "a", "broken"),
+     ""},
     {rule_no_revert, LOOKUP("5", "3") LOOKUP("6", "4"), LOOKUP("5", "4") LOOKUP("6", "3"), ""},
     {rule_in_force, LOOKUP(S(16), "1") LOOKUP(S(19), "2"), LOOKUP(S(19), "1"), table_write},
     {rule_edits, EDIT("e1", "applied") EDIT("e2", "refused"),
@@ -75,12 +79,12 @@
 };
 
 static verdict_t
-run_rule(rule_t rule, const char *setting, const char *lines)
+run_rule(rule_t rule, const char *setup, const char *lines)
 {
     char path[] = "/tmp/iris-history-XXXXXX";
     const int fd = mkstemp(path);
     ck_assert_int_ge(fd, 0);
-    ck_assert(write(fd, setting, strlen(setting)) == (ssize_t)strlen(setting));
+    ck_assert(write(fd, setup, strlen(setup)) == (ssize_t)strlen(setup));
     ck_assert(write(fd, lines, strlen(lines)) == (ssize_t)strlen(lines));
     close(fd);
     events_t events = {0};
@@ -97,17 +101,17 @@
 
 START_TEST(rules_hold_on_good_histories)
 {
-    const verdict_t verdict = run_rule(cases[_i].rule, cases[_i].setting, cases[_i].good);
-    ck_assert_msg(verdict.violations == 0, "%s: %s", verdict.promise, verdict.first);
+    const verdict_t verdict = run_rule(cases[_i].rule, cases[_i].setup, cases[_i].good);
+    ck_assert_msg(verdict.violations == 0, "%s: %s", verdict.guarantee, verdict.first_violation);
     ck_assert_uint_gt(verdict.examined, 0);
 }
 END_TEST
 
 START_TEST(rules_fail_on_bad_histories)
 {
-    const verdict_t verdict = run_rule(cases[_i].rule, cases[_i].setting, cases[_i].bad);
-    ck_assert_msg(verdict.violations > 0, "%s", verdict.promise);
-    ck_assert(verdict.first[0] != '\0');
+    const verdict_t verdict = run_rule(cases[_i].rule, cases[_i].setup, cases[_i].bad);
+    ck_assert_msg(verdict.violations > 0, "%s", verdict.guarantee);
+    ck_assert(verdict.first_violation[0] != '\0');
 }
 END_TEST
 
@@ -148,7 +152,7 @@
 static const struct {
     const char *lines;
     size_t violations;
-} unread_lists[] = {
+} unread_list_cases[] = {
     /* 17 ms later the store is out. Its return counts, to the microsecond. */
     {LISTED("1000000", "leaving") STORE("1017000", "1") ENTER("8000000", "a"), 0},
     {LISTED("1000000", "leaving") STORE("1017000", "1") STORE("9000000", "0")
@@ -196,14 +200,14 @@
      1},
 };
 
-START_TEST(a_list_counts_from_when_it_can_be_read)
+START_TEST(leaving_list_counts_once_readable)
 {
-    const verdict_t verdict = run_rule(rule_leaving, "", unread_lists[_i].lines);
-    ck_assert_uint_eq(verdict.violations, unread_lists[_i].violations);
+    const verdict_t verdict = run_rule(rule_leaving, "", unread_list_cases[_i].lines);
+    ck_assert_uint_eq(verdict.violations, unread_list_cases[_i].violations);
 }
 END_TEST
 
-START_TEST(shift_cap_rule_tells_small_from_large)
+START_TEST(shift_cap_rule_rejects_large_shifts)
 {
     ck_assert_uint_eq(run_shift(4).violations, 0);
     ck_assert_uint_gt(run_shift(4).examined, 0);
@@ -211,7 +215,7 @@
 }
 END_TEST
 
-START_TEST(nothing_examined_is_not_held)
+START_TEST(empty_history_examines_nothing)
 {
     ck_assert_uint_eq(run_rule(rule_at_most_once, "", "").examined, 0);
 }
@@ -224,9 +228,9 @@
     TCase *tcase = tcase_create("check");
     tcase_add_loop_test(tcase, rules_hold_on_good_histories, 0, (int)ALEN(cases));
     tcase_add_loop_test(tcase, rules_fail_on_bad_histories, 0, (int)ALEN(cases));
-    tcase_add_loop_test(tcase, a_list_counts_from_when_it_can_be_read, 0, (int)ALEN(unread_lists));
-    tcase_add_test(tcase, shift_cap_rule_tells_small_from_large);
-    tcase_add_test(tcase, nothing_examined_is_not_held);
+    tcase_add_loop_test(tcase, leaving_list_counts_once_readable, 0, (int)ALEN(unread_list_cases));
+    tcase_add_test(tcase, shift_cap_rule_rejects_large_shifts);
+    tcase_add_test(tcase, empty_history_examines_nothing);
     suite_add_tcase(suite, tcase);
     return suite;
 }
