--- a/check/config.c
+++ b/check/config.c
@@ -1,4 +1,4 @@
-/* Rules about configuration: in force within seconds, never reverting; operators told the truth. */
+/* Configuration rules: adoption time, version monotonicity and the reported outcome of edits. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -53,7 +53,7 @@
     return left < right ? -1 : left > right;
 }
 
-/* Time from acceptance to force, at every entry that was running. */
+/* Summarises the delay from a table's store write to its adoption at each running entry. */
 static void
 summarize_adoption_times(const events_t *events, const accepted_t *accepted, size_t count,
                          verdict_t *verdict)
@@ -65,7 +65,7 @@
         if (event->type != EV_ADOPT || strcmp(event->kind, "table") != 0)
             continue;
         for (size_t a = 0; a < count; a++) {
-            /* An incarnation is the time of its start; later ones found the version there. */
+            /* An incarnation is a start time; entries started after the write are left out. */
             if (accepted[a].version == event->version && event->incarnation < accepted[a].t)
                 times[n++] = event->t - accepted[a].t;
         }
@@ -113,7 +113,7 @@
     free(accepted);
 }
 
-/* In how many stored tables the edit newly appears. */
+/* Counts the table writes that add the edit's id to the table's list of applied edits. */
 static size_t
 times_applied(const events_t *events, const event_t *edit)
 {
--- a/check/events.c
+++ b/check/events.c
@@ -41,7 +41,7 @@
     return EV_OTHER;
 }
 
-/* The one copy of a string. */
+/* Returns the shared copy of a member's string, "" if it is absent. */
 static const char *
 intern(events_t *events, const json_t *root, const char *key)
 {
--- a/check/events.h
+++ b/check/events.h
@@ -1,4 +1,4 @@
-/* Events of a recorded run, read from several histories and put in order of time. */
+/* Events of a recorded run, merged from several histories and sorted by time. */
 #pragma once
 
 #include <stdbool.h>
@@ -10,31 +10,31 @@
 #include "base/error.h"
 
 typedef enum {
-    EV_SEND,   /* a caller's request was due */
-    EV_RECV,   /* its final outcome, as the caller saw it */
-    EV_LOOKUP, /* an entry answered a look-up */
+    EV_SEND,   /* a client's request was due */
+    EV_RECV,   /* its final outcome, as seen by the client */
+    EV_LOOKUP, /* an entry answered a lookup */
     EV_ADMIT,  /* an entry sent a request to a backend server */
-    EV_ANSWER, /* an entry gave its final answer */
-    EV_ADOPT,  /* an entry put an object in force */
+    EV_ANSWER, /* an entry sent its final response */
+    EV_ADOPT,  /* an entry adopted a version of an object */
     EV_ENTRY_START,
     EV_ENTRY_LEAVE,
     EV_ENTRY_STOPPED,
-    EV_ENTER, /* a backend server accepted a request, queued or not */
+    EV_ENTER, /* a backend server accepted a request, queued or running */
     EV_RUN_START,
     EV_RUN_END,
-    EV_LEAVE,    /* it is done with it */
-    EV_UPSTREAM, /* its behaviour was changed */
+    EV_LEAVE,    /* a backend server finished a request */
+    EV_UPSTREAM, /* a backend server's behaviour was changed */
     EV_STORE_WRITE,
-    EV_STORE_CONTROL, /* the store's faults were set */
-    EV_INSTANCE,      /* the platform's list was changed */
-    EV_EDIT,          /* an operator was told the outcome of an edit */
-    EV_PAUSE,         /* the campaign stopped an entry's process for a while */
+    EV_STORE_CONTROL, /* fault injection in the store was changed */
+    EV_INSTANCE,      /* the platform's instance list was changed */
+    EV_EDIT,          /* the outcome of an edit was reported to an operator */
+    EV_PAUSE,         /* the test run suspended an entry's process */
     EV_OTHER,
 } event_type_t;
 
-/* Strings are shared and live as long as the events; absent ones are empty. */
+/* Strings are interned in events_t; absent ones are empty. */
 typedef struct {
-    uint64_t t; /* wall, microseconds */
+    uint64_t t; /* wall clock, microseconds */
     size_t order;
     event_type_t type;
     const char *id;
@@ -50,7 +50,7 @@
     const char *result; /* result, state or outcome */
     uint64_t version;
     uint64_t incarnation;
-    int64_t number; /* draining, outage, moved */
+    int64_t number; /* value of draining, outage or moved */
     json_t *value;  /* of a store write */
 } event_t;
 
--- a/check/leaving.c
+++ b/check/leaving.c
@@ -1,10 +1,9 @@
 /*
- * The rule about backend servers that are leaving, whichever source said so first.
+ * Rule for leaving backend servers: no new requests after LEAVING_LIMIT_S.
  *
- * A source counts from when it said so. The platform's list is the exception where nobody could
- * read it: if it changes while the platform is out, or the platform is out within a moment of the
- * change, it counts from the platform's return, or from when an instance adopted it if that comes
- * first. The limit from then on is the same.
+ * The time runs from the first source that marks the server as leaving. If a platform outage kept
+ * instances from reading the platform's list, the list counts from the end of the outage or from
+ * its first adoption by an instance, whichever is earlier.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,8 +15,7 @@
 enum {
     SERVERS_MAX = 4096,
     US_PER_S = 1000000,
-    /* A list that stood for longer before an outage counts from its change, whoever read it: the
-     * instances that follow it read it every 1 to 3 s. Seen: 17 ms. Chosen, not measured. */
+    /* A list published longer than this before an outage counts as readable. */
     UNREAD_MAX_US = 100000,
 };
 
@@ -25,10 +23,10 @@
 
 typedef struct {
     index_t servers;
-    uint64_t since[SERVERS_MAX][SOURCE_COUNT]; /* 0: not said to be leaving */
-    uint64_t version[SERVERS_MAX];             /* of the list that says so */
-    bool adopted[SERVERS_MAX];                 /* that list or a later one, by any instance */
-    bool unread[SERVERS_MAX]; /* the list says so, and nobody could read it until now */
+    uint64_t since[SERVERS_MAX][SOURCE_COUNT]; /* 0: not marked as leaving */
+    uint64_t version[SERVERS_MAX];             /* of the list that marks it as leaving */
+    bool adopted[SERVERS_MAX];                 /* an instance adopted that list or a later one */
+    bool unread[SERVERS_MAX];                  /* the list marks it, but could not be read so far */
     bool outage;
 } leaving_t;
 
@@ -64,7 +62,8 @@
     return leaving->servers.count < SERVERS_MAX ? leaving->servers.count : SERVERS_MAX;
 }
 
-/* An instance put a list in force. A change recorded without its list's version is in each list. */
+/* Handles an instance's adoption of a list. Changes recorded without a version are in every list.
+ */
 static void
 apply_adoption(leaving_t *leaving, const event_t *event)
 {
@@ -78,7 +77,7 @@
     }
 }
 
-/* The platform's faults were set. */
+/* Tracks outages of the platform and which lists could not be read because of one. */
 static void
 set_outage(leaving_t *leaving, bool outage, uint64_t t)
 {
@@ -105,7 +104,7 @@
     return false;
 }
 
-/* A table lists only servers of its own service, which are named after it. */
+/* A table covers only the servers of its service, whose names start with the service's name. */
 static void
 apply_table(leaving_t *leaving, const event_t *event)
 {
--- a/check/limits.c
+++ b/check/limits.c
@@ -1,4 +1,4 @@
-/* Rules about limits: what was at the backend servers at once, and how fast it came. */
+/* Limit rules: requests in flight at backend servers, request rates and request amplification. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,12 +8,12 @@
 
 enum { US_PER_S = 1000000, KEYS_MAX = 1024, KEY_SIZE = 128, RATE_WINDOW_S = 5 };
 
-#define RATE_SLACK 1.1 /* over the window, for the burst a rate allows */
+#define RATE_SLACK 1.1 /* allowance for bursts within the window */
 
-/* Limit of a region or row over time; 0 means none. */
+/* A region's or row's limit over time; 0 means unlimited. */
 typedef struct {
     uint64_t current;
-    uint64_t previous_max; /* greatest of the versions still allowed to be in force */
+    uint64_t previous_max; /* highest limit among older versions that may still be in force */
     uint64_t changed_us;
 } limit_t;
 
--- a/check/outcomes.c
+++ b/check/outcomes.c
@@ -1,4 +1,4 @@
-/* Rules about outcomes: what callers were told, against what backend servers did. */
+/* Outcome rules: compare what clients were told with what backend servers did. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -23,7 +23,7 @@
     snprintf(verdict->note, sizeof(verdict->note), "seen as broken by their callers: %zu", broken);
 }
 
-/* Ids that some backend server started to run. */
+/* Ids of requests that a backend server started to run. */
 static index_t
 started_ids(const events_t *events)
 {
@@ -69,10 +69,10 @@
     index_free(&keys);
 }
 
-/* A planned stop that ran to its end without being paused on the way. */
+/* A planned stop that completed without a pause or restart of the entry. */
 typedef struct {
     const char *entry;
-    uint64_t started; /* start of its life, 0 if before the record */
+    uint64_t started; /* when the entry started, 0 if before the recording */
     uint64_t from;
     uint64_t to;
 } planned_stop_t;
@@ -114,7 +114,7 @@
     return count;
 }
 
-/* The stop that an entry's event belongs to: in its last life before the stop ended. */
+/* Finds the stop whose process lifetime contains an entry's event. */
 static size_t
 find_stop(const planned_stop_t *stops, size_t count, const event_t *event)
 {
@@ -126,7 +126,7 @@
     return SIZE_MAX;
 }
 
-/* Ids that their backend server itself cut off. */
+/* Ids of requests that the backend server itself aborted. */
 static index_t
 ids_cut_by_servers(const events_t *events)
 {
@@ -146,8 +146,8 @@
     return strcmp(event->result, "broken") == 0 || strcmp(event->result, "unknown") == 0;
 }
 
-/* A request is in flight at an entry from its admission there: what a caller got before is not the
- * entry's doing. Others may hand over requests that they read long after their callers left. */
+/* A request counts as in flight at an entry from its admission there. Outcomes recorded earlier are
+ * ignored: another entry may forward a request after its client has given up. */
 void
 rule_planned_stop(const events_t *events, verdict_t *verdict)
 {
@@ -156,7 +156,7 @@
     planned_stop_t stops[STOPS_MAX];
     const size_t count = find_stops(events, stops, STOPS_MAX);
     index_t cut_ids = ids_cut_by_servers(events);
-    json_t *admitted = json_object(); /* ids admitted so far by an entry that stops: its stop */
+    json_t *admitted = json_object(); /* ids admitted by a stopping entry, with the stop's index */
     for (size_t i = 0; i < events->count; i++) {
         const event_t *event = &events->items[i];
         if (event->type == EV_ADMIT) {
--- a/check/rules.h
+++ b/check/rules.h
@@ -1,6 +1,6 @@
 /*
- * The promises, checked on a recorded run. Each rule counts the events it examined and the ones
- * that break it; a rule that examined nothing proves nothing and says so.
+ * Rules that check the system's guarantees on a recorded run. Each counts the events it examined
+ * and the violations among them; a rule that examined nothing is inconclusive.
  */
 #pragma once
 
@@ -10,13 +10,14 @@
     const char *guarantee;
     size_t examined;
     size_t violations;
-    char first_violation[256]; /* the first offending event, in words */
-    char note[160];            /* a figure worth knowing, e.g. the greatest value seen */
+    char first_violation[256]; /* description of the first violation */
+    char note[160];            /* summary figure, e.g. the peak value */
 } verdict_t;
 
 typedef void (*rule_t)(const events_t *events, verdict_t *verdict);
 
-/* The slowest allowed time from acceptance to force everywhere. */
+/* Limits for adopting a configuration change, for new requests to a leaving server, and the window
+ * of a shift cap. */
 enum { FORCE_LIMIT_S = 17, LEAVING_LIMIT_S = 5, CAP_WINDOW_S = 60 };
 
 void rule_shift_cap(const events_t *events, verdict_t *verdict);
@@ -33,17 +34,18 @@
 void rule_edits(const events_t *events, verdict_t *verdict);
 void rule_extra_requests(const events_t *events, verdict_t *verdict);
 
-/* Helpers shared by the rules. */
+/* Counts a violation and formats the first one. */
 void verdict_add_violation(verdict_t *verdict, const char *fmt, ...)
     __attribute__((format(printf, 2, 3)));
 
-/* A map from text to an index, 0, 1, 2, ... in order of first use. */
+/* Maps texts to consecutive indexes in order of insertion. */
 typedef struct {
     json_t *map;
     size_t count;
 } index_t;
 
+/* Returns the text's index; adds the text if it is missing. */
 size_t index_intern(index_t *index, const char *text);
-/* SIZE_MAX if the text was never added. */
+/* Returns SIZE_MAX if the text is missing. */
 size_t index_find(const index_t *index, const char *text);
 void index_free(index_t *index);
--- a/check/shift.c
+++ b/check/shift.c
@@ -1,4 +1,4 @@
-/* The rule about shift caps: how much of a service's traffic moved towards a place. */
+/* Shift cap rule: how fast a data hall's share of a service's traffic may grow. */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,8 +15,8 @@
 typedef struct {
     size_t service;
     char place[64];
-    double cap;       /* the loosest of the run */
-    uint32_t *starts; /* per bin */
+    double cap;       /* highest cap of the run */
+    uint32_t *starts; /* requests entered, per bin */
 } row_t;
 
 typedef struct {
@@ -78,7 +78,7 @@
         if (shift->sends[service] == NULL)
             shift->sends[service] = xcalloc(shift->bins, sizeof(**shift->sends));
         shift->sends[service][bin]++;
-    } else if (index_find(seen, event->id) == SIZE_MAX) { /* not a retry or a hedge */
+    } else if (index_find(seen, event->id) == SIZE_MAX) { /* skips retries and hedges */
         index_intern(seen, event->id);
         row_t *row = find_row(shift, event->service, event->place);
         if (row != NULL)
--- a/test/test_check.c
+++ b/test/test_check.c
@@ -1,4 +1,4 @@
-/* The checker: each rule holds on a good history and fails on one that breaks it. */
+/* Tests of the history checker: each rule accepts a good history and rejects a bad one. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -38,8 +38,7 @@
     "{\"t\":3,\"ev\":\"run_end\",\"id\":\"a\",\"result\":\"done\"}\n"                              \
     "{\"t\":9,\"ev\":\"entry_stopped\",\"entry\":\"x\"}\n"
 
-/* The caller has its outcome before the leaving entry gets the request, from one that stood still.
- */
+/* The client has its outcome before another entry forwards the request to the leaving one. */
 #define ABANDONED_BEFORE_STOP                                                                      \
     "{\"t\":1,\"ev\":\"entry_leave\",\"entry\":\"x\"}\n" RECV(                                     \
         "2", "b",                                                                                  \
@@ -115,7 +114,7 @@
 }
 END_TEST
 
-/* Sends 200 requests a second; the place's part grows by `points` within 20 seconds. */
+/* Sends 200 requests/s; the data hall's share grows by `points` percentage points within 20 s. */
 static verdict_t
 run_shift(unsigned points)
 {
@@ -148,12 +147,12 @@
 #define SERVER(t, draining)                                                                        \
     "{\"t\":" t ",\"ev\":\"upstream_control\",\"upstream\":\"s-1\",\"draining\":" draining "}\n"
 
-/* The list says that s-1 leaves; when the store is out, and when new work comes. */
+/* The list marks s-1 as leaving around a store outage; then s-1 gets a new request. */
 static const struct {
     const char *lines;
     size_t violations;
 } unread_list_cases[] = {
-    /* 17 ms later the store is out. Its return counts, to the microsecond. */
+    /* The outage begins 17 ms after the change: time runs from its end. */
     {LISTED("1000000", "leaving") STORE("1017000", "1") ENTER("8000000", "a"), 0},
     {LISTED("1000000", "leaving") STORE("1017000", "1") STORE("9000000", "0")
          ENTER("14000000", "a"),
@@ -161,12 +160,12 @@
     {LISTED("1000000", "leaving") STORE("1017000", "1") STORE("9000000", "0")
          ENTER("14000001", "a"),
      1},
-    /* The store is out as the list changes. */
+    /* The list changes during the outage. */
     {STORE("500000", "1") LISTED("1000000", "leaving") STORE("9000000", "0") ENTER("14000000", "a"),
      0},
     {STORE("500000", "1") LISTED("1000000", "leaving") STORE("9000000", "0") ENTER("14000001", "a"),
      1},
-    /* It could be read: at all times, for longer than a moment, before an outage was set again. */
+    /* The list was readable: no outage, a late outage, or a gap between outages. */
     {LISTED("1000000", "leaving") ENTER("6000001", "a"), 1},
     {LISTED("1000000", "leaving") STORE("1017000", "0") ENTER("6000001", "a"), 1},
     {LISTED("1000000", "leaving") STORE("1100001", "1") STORE("9000000", "0") ENTER("9500000", "a"),
@@ -177,8 +176,7 @@
     {LISTED("1000000", "leaving") STORE("1017000", "1") STORE("2000000", "1") STORE("9000000", "0")
          STORE("9000001", "0") ENTER("14000001", "a"),
      1},
-    /* An instance had it nevertheless: before the outage or during it. An older list does not
-     * count. */
+    /* An instance adopted the list before or during the outage; older lists do not count. */
     {LISTED("1000000", "leaving") ADOPTED("1010000", "7") STORE("1017000", "1")
          ENTER("6000001", "a"),
      1},
@@ -191,7 +189,7 @@
     {LISTED("1000000", "leaving") STORE("1017000", "1") ADOPTED("1020000", "6")
          ENTER("6020001", "a"),
      0},
-    /* The server's own word and the table count from when they were said. */
+    /* A server's own announcement counts at once, regardless of the outage. */
     {SERVER("1000000", "1") LISTED("1000000", "leaving") STORE("1017000", "1")
          ENTER("6000001", "a"),
      1},
