--- a/ctl/commit.c
+++ b/ctl/commit.c
@@ -4,7 +4,7 @@
 #include "ctl/commit.h"
 #include "entry/table/table_json.h"
 
-enum { GIVE_UP_MS = 10000, RETRY_MS = 200 };
+enum { COMMIT_TIMEOUT_MS = 10000, RETRY_MS = 200 };
 
 const char *
 commit_result_name(commit_result_t result)
@@ -37,7 +37,7 @@
     session_t *session;
     const char *service;
     const edit_t *edit;
-    bool may_be_written;
+    bool may_have_written;
 } commit_t;
 
 static bool
@@ -49,7 +49,7 @@
 
 /* One round. True when `result` is final. */
 static bool
-try_once(commit_t *commit, commit_result_t *result, uint64_t *version, err_t *err)
+try_commit(commit_t *commit, commit_result_t *result, uint64_t *version, err_t *err)
 {
     table_t *table = commit_read(commit->session, commit->service, err);
     if (table == NULL) {
@@ -80,7 +80,7 @@
     }
     *err = reply.err;
     if (!was_not_written(reply.err.code))
-        commit->may_be_written = true;
+        commit->may_have_written = true;
     return false;
 }
 
@@ -89,13 +89,13 @@
             err_t *err)
 {
     const iris_clock_t *clock = clock_system();
-    const uint64_t until = clock_steady_ms(clock) + GIVE_UP_MS;
+    const uint64_t deadline_ms = clock_steady_ms(clock) + COMMIT_TIMEOUT_MS;
     commit_t commit = {.session = session, .service = service, .edit = edit};
     commit_result_t result = COMMIT_NOT_APPLIED;
-    while (clock_steady_ms(clock) < until) {
-        if (try_once(&commit, &result, version, err))
+    while (clock_steady_ms(clock) < deadline_ms) {
+        if (try_commit(&commit, &result, version, err))
             return result;
         session_sleep(session, rng_below(&session->rng, RETRY_MS) + 1);
     }
-    return commit.may_be_written ? COMMIT_UNKNOWN : COMMIT_NOT_APPLIED;
+    return commit.may_have_written ? COMMIT_UNKNOWN : COMMIT_NOT_APPLIED;
 }
--- a/ctl/instance_cmd.c
+++ b/ctl/instance_cmd.c
@@ -12,7 +12,7 @@
 typedef struct {
     const char *method;
     char *path; /* NULL if the command is none of these */
-} question_t;
+} admin_request_t;
 
 static char *
 build_path(int argc, char **argv)
@@ -33,12 +33,12 @@
     return NULL;
 }
 
-static question_t
-build_question(int argc, char **argv)
+static admin_request_t
+build_request(int argc, char **argv)
 {
     if (strcmp(argv[0], "quarantine") == 0 && argc == 3 && strcmp(argv[1], "lift") == 0)
-        return (question_t){"POST", xasprintf("/quarantine/lift?request=%s", argv[2])};
-    return (question_t){"GET", build_path(argc, argv)};
+        return (admin_request_t){"POST", xasprintf("/quarantine/lift?request=%s", argv[2])};
+    return (admin_request_t){"GET", build_path(argc, argv)};
 }
 
 int
@@ -50,14 +50,14 @@
         fprintf(stderr, "irisctl: --instance: '%s': expected IP:PORT\n", instance);
         return CTL_USAGE;
     }
-    const question_t question = build_question(argc, argv);
-    if (question.path == NULL) {
+    const admin_request_t request = build_request(argc, argv);
+    if (request.path == NULL) {
         fprintf(stderr, "irisctl: '%s' is not asked of an instance, see irisctl --help\n", argv[0]);
         return CTL_USAGE;
     }
     session_start(&session, &addr);
-    const reply_t reply = session_call(&session, &addr, question.method, question.path);
-    free(question.path);
+    const reply_t reply = session_call(&session, &addr, request.method, request.path);
+    free(request.path);
     if (reply.err.code != ERR_NONE) {
         fprintf(stderr, "irisctl: %s: %s\n", err_name(reply.err.code), reply.err.detail);
         free(reply.body);
--- a/ctl/status_cmd.c
+++ b/ctl/status_cmd.c
@@ -26,7 +26,7 @@
 }
 
 static long
-number(const json_t *root, const char *key)
+get_integer(const json_t *root, const char *key)
 {
     return (long)json_integer_value(json_object_get(root, key));
 }
@@ -40,9 +40,9 @@
     json_array_foreach(json_object_get(root, "objects"), i, object)
     {
         printf(" %s/%s@%ld", json_string_value(json_object_get(object, "kind")),
-               json_string_value(json_object_get(object, "name")), number(object, "version"));
-        if (number(object, "kept_out") > 0)
-            printf("(kept out: %ld)", number(object, "kept_out"));
+               json_string_value(json_object_get(object, "name")), get_integer(object, "version"));
+        if (get_integer(object, "kept_out") > 0)
+            printf("(kept out: %ld)", get_integer(object, "kept_out"));
     }
     putchar('\n');
 }
@@ -54,14 +54,14 @@
     json_t *service;
     json_array_foreach(json_object_get(root, "services"), i, service)
     {
-        const long left = number(service, "ramp_left_ms");
-        if (left == 0)
+        const long remaining_ms = get_integer(service, "ramp_left_ms");
+        if (remaining_ms == 0)
             continue;
         printf("    %s: shift ", json_string_value(json_object_get(service, "service")));
-        if (left < 0)
+        if (remaining_ms < 0)
             printf("held by a cap of 0\n");
         else
-            printf("under way, %.0f s left\n", (double)left / 1000);
+            printf("under way, %.0f s left\n", (double)remaining_ms / 1000);
     }
 }
 
@@ -74,10 +74,11 @@
            json_is_true(json_object_get(root, "leaving")) ? "leaving"
            : json_is_true(json_object_get(root, "ready")) ? "ready"
                                                           : "waiting",
-           number(root, "in_flight"), number(credits, "in_flight"), number(credits, "usable"),
-           number(credits, "limit"), number(credits, "epoch"),
+           get_integer(root, "in_flight"), get_integer(credits, "in_flight"),
+           get_integer(credits, "usable"), get_integer(credits, "limit"),
+           get_integer(credits, "epoch"),
            json_is_true(json_object_get(credits, "authority")) ? "" : " (no authority)",
-           number(root, "members_alive"));
+           get_integer(root, "members_alive"));
     print_versions(root);
     print_ramps(root);
 }
--- a/ctl/table_cmd.c
+++ b/ctl/table_cmd.c
@@ -15,7 +15,7 @@
 #include "entry/table/table_json.h"
 
 static int
-fail(const session_t *session, int status, const err_t *err)
+report_error(const session_t *session, int status, const err_t *err)
 {
     if (session != NULL && session->json) {
         json_t *root = json_pack("{s:s, s:s}", "error", err_name(err->code), "detail", err->detail);
@@ -29,7 +29,7 @@
 }
 
 static int
-status_of(commit_result_t result)
+result_exit_status(commit_result_t result)
 {
     switch (result) {
     case COMMIT_APPLIED:
@@ -45,7 +45,7 @@
 }
 
 static int
-status_of_error(const err_t *err)
+error_exit_status(const err_t *err)
 {
     return err->code == ERR_NOT_FOUND || err->code == ERR_INVALID || err->code == ERR_PARSE
                ? CTL_REFUSED
@@ -85,7 +85,7 @@
     err_t err = {0};
     table_t *table = commit_read(session, service, &err);
     if (table == NULL)
-        return fail(session, status_of_error(&err), &err);
+        return report_error(session, error_exit_status(&err), &err);
     if (session->json) {
         char *text = table_format(table);
         puts(text);
@@ -103,7 +103,7 @@
     const reply_t reply = session_list(session);
     if (reply.err.code != ERR_NONE) {
         free(reply.body);
-        return fail(session, CTL_NOT_APPLIED, &reply.err);
+        return report_error(session, CTL_NOT_APPLIED, &reply.err);
     }
     json_t *root = json_loadb(reply.body, reply.len, 0, NULL);
     free(reply.body);
@@ -116,8 +116,8 @@
         const char *name = json_string_value(json_object_get(item, "name"));
         if (kind == NULL || name == NULL || strcmp(kind, "table") != 0)
             continue;
-        const int one = show_one(session, name);
-        status = one != CTL_OK ? one : status;
+        const int show_status = show_one(session, name);
+        status = show_status != CTL_OK ? show_status : status;
     }
     json_decref(root);
     return status;
@@ -153,7 +153,7 @@
     if (result != COMMIT_APPLIED) {
         if (err.code == ERR_NONE)
             err_set(&err, ERR_UNAVAILABLE, "the store cannot be reached");
-        fail(session, CTL_OK, &err);
+        report_error(session, CTL_OK, &err);
     }
     if (session->json)
         printf("{\"result\":\"%s\",\"version\":%lu}\n", commit_result_name(result),
@@ -161,7 +161,7 @@
     else
         printf("%s%s\n", commit_result_name(result),
                result == COMMIT_UNKNOWN ? ": read the table before trying again" : "");
-    return status_of(result);
+    return result_exit_status(result);
 }
 
 int
@@ -176,7 +176,7 @@
     err_t err = {0};
     table_t *table = commit_read(session, argv[0], &err);
     if (table == NULL)
-        return fail(session, status_of_error(&err), &err);
+        return report_error(session, error_exit_status(&err), &err);
     edit_t *edit = start_edit(session);
     bool ok = true;
     for (int i = 1; ok && i < argc; i++)
@@ -184,7 +184,7 @@
     table_free(table);
     if (!ok) {
         edit_free(edit);
-        return fail(session, CTL_USAGE, &err);
+        return report_error(session, CTL_USAGE, &err);
     }
     return finish_edit(session, argv[0], edit);
 }
@@ -199,7 +199,7 @@
     err_t err = {0};
     table_t *table = commit_read(session, argv[0], &err);
     if (table == NULL)
-        return fail(session, status_of_error(&err), &err);
+        return report_error(session, error_exit_status(&err), &err);
     table_file_print(table);
     table_free(table);
     return CTL_OK;
@@ -215,7 +215,7 @@
     err_t err = {0};
     table_file_t *file = table_file_read(argv[1], &err);
     if (file == NULL)
-        return fail(session, CTL_USAGE, &err);
+        return report_error(session, CTL_USAGE, &err);
     table_t *table = commit_read(session, argv[0], &err);
     edit_t *edit = start_edit(session);
     const bool readable = table != NULL;
@@ -224,7 +224,7 @@
     table_file_free(file);
     if (!ok) {
         edit_free(edit);
-        return fail(session, readable ? CTL_USAGE : status_of_error(&err), &err);
+        return report_error(session, readable ? CTL_USAGE : error_exit_status(&err), &err);
     }
     return finish_edit(session, argv[0], edit);
 }
@@ -240,7 +240,7 @@
     err_t err = {0};
     if (!name_set(&backend, str_from(argv[1]))) {
         err_set(&err, ERR_INVALID, "%s: not a valid name", argv[1]);
-        return fail(session, CTL_USAGE, &err);
+        return report_error(session, CTL_USAGE, &err);
     }
     edit_t *edit = start_edit(session);
     edit_add_drain(edit, drain ? CHANGE_DRAIN : CHANGE_UNDRAIN, &backend);
@@ -295,15 +295,15 @@
     char *body = read_file(argv[2], &len, &err);
     if (body == NULL || !check_object(argv[0], (str_t){body, len}, &err)) {
         free(body);
-        return fail(session, CTL_USAGE, &err);
+        return report_error(session, CTL_USAGE, &err);
     }
-    const reply_t now = session_get(session, argv[0], argv[1]);
-    free(now.body);
-    if (now.err.code != ERR_NONE && now.err.code != ERR_NOT_FOUND) {
+    const reply_t stored = session_get(session, argv[0], argv[1]);
+    free(stored.body);
+    if (stored.err.code != ERR_NONE && stored.err.code != ERR_NOT_FOUND) {
         free(body);
-        return fail(session, CTL_NOT_APPLIED, &now.err);
+        return report_error(session, CTL_NOT_APPLIED, &stored.err);
     }
-    const uint64_t expected = now.err.code == ERR_NONE ? now.version : 0;
+    const uint64_t expected = stored.err.code == ERR_NONE ? stored.version : 0;
     const reply_t reply = session_put(session, argv[0], argv[1], expected, (str_t){body, len});
     free(body);
     free(reply.body);
@@ -311,11 +311,11 @@
         printf("applied version %lu\n", (unsigned long)reply.version);
         return CTL_OK;
     }
-    const bool lost = reply.err.code == ERR_ANSWER_LOST || reply.err.code == ERR_TIMEOUT;
+    const bool answer_lost = reply.err.code == ERR_ANSWER_LOST || reply.err.code == ERR_TIMEOUT;
     const int status = reply.err.code == ERR_CONFLICT ? CTL_REFUSED
-                       : lost                         ? CTL_UNKNOWN
+                       : answer_lost                  ? CTL_UNKNOWN
                                                       : CTL_NOT_APPLIED;
-    return fail(session, status, &reply.err);
+    return report_error(session, status, &reply.err);
 }
 
 int
--- a/ctl/table_file.c
+++ b/ctl/table_file.c
@@ -6,7 +6,7 @@
 #include "base/xmalloc.h"
 #include "ctl/table_file.h"
 
-enum { LINE_MAX_LEN = 512, COLUMNS_IN_FILE = 6 };
+enum { LINE_MAX_LEN = 512, FILE_COLUMN_COUNT = 6 };
 
 /* Before a row as the operator saw it, so that an import can tell others' changes from its own. */
 static const char seen_prefix[] = "#seen,";
@@ -35,7 +35,7 @@
 
 /* A row of an exported file: the place and a text for each column. */
 typedef struct {
-    char cell[COLUMNS_IN_FILE][EDIT_VALUE_MAX];
+    char cell[FILE_COLUMN_COUNT][EDIT_VALUE_MAX];
 } file_row_t;
 
 static bool
@@ -48,13 +48,13 @@
         if (*at == ',') {
             column++;
             len = 0;
-        } else if (column < COLUMNS_IN_FILE && len < EDIT_VALUE_MAX - 1) {
+        } else if (column < FILE_COLUMN_COUNT && len < EDIT_VALUE_MAX - 1) {
             row->cell[column][len++] = *at;
         } else {
             return false;
         }
     }
-    return column == COLUMNS_IN_FILE - 1;
+    return column == FILE_COLUMN_COUNT - 1;
 }
 
 typedef struct {
--- a/ctl/trace_cmd.c
+++ b/ctl/trace_cmd.c
@@ -11,7 +11,7 @@
 typedef struct {
     char *source; /* the file, or the instance that stands before the line */
     char *text;   /* from "v=" on */
-    char when[32];
+    char timestamp[32];
     size_t order; /* keeps lines of the same time as they came */
 } line_t;
 
@@ -22,7 +22,7 @@
 
 /* True if `id` stands in the line as a whole value. */
 static bool
-mentions(const char *text, const char *id)
+contains_value(const char *text, const char *id)
 {
     const size_t len = strlen(id);
     for (const char *at = strstr(text, id); at != NULL; at = strstr(at + 1, id)) {
@@ -42,10 +42,10 @@
     line_t *item = &lines->items[lines->count];
     *item = (line_t){.order = lines->count};
     lines->count++;
-    const char *when = strstr(text, key);
-    if (when != NULL)
-        snprintf(item->when, sizeof(item->when), "%.*s", (int)strcspn(when + strlen(key), " "),
-                 when + strlen(key));
+    const char *timestamp = strstr(text, key);
+    if (timestamp != NULL)
+        snprintf(item->timestamp, sizeof(item->timestamp), "%.*s",
+                 (int)strcspn(timestamp + strlen(key), " "), timestamp + strlen(key));
     /* Some collectors put the instance's name before each line. */
     const char *end = text;
     while (end > line && end[-1] == ' ')
@@ -67,7 +67,7 @@
         return false;
     while (fgets(line, sizeof(line), file) != NULL) {
         const char *text = strstr(line, "v=1 ");
-        if (text != NULL && mentions(text, id))
+        if (text != NULL && contains_value(text, id))
             add_line(lines, path, line, text);
     }
     if (file != stdin)
@@ -76,11 +76,11 @@
 }
 
 static int
-by_time(const void *left, const void *right)
+compare_by_time(const void *left, const void *right)
 {
     const line_t *a = left;
     const line_t *b = right;
-    const int order = strcmp(a->when, b->when);
+    const int order = strcmp(a->timestamp, b->timestamp);
     return order != 0 ? order : (a->order > b->order) - (a->order < b->order);
 }
 
@@ -88,7 +88,7 @@
 print_line(const line_t *line)
 {
     const char *level = strstr(line->text, "level=");
-    printf("%s %-24s %s\n", line->when, line->source, level != NULL ? level : line->text);
+    printf("%s %-24s %s\n", line->timestamp, line->source, level != NULL ? level : line->text);
 }
 
 int
@@ -106,7 +106,7 @@
         }
     }
     if (lines.count > 0)
-        qsort(lines.items, lines.count, sizeof(*lines.items), by_time);
+        qsort(lines.items, lines.count, sizeof(*lines.items), compare_by_time);
     for (size_t i = 0; i < lines.count; i++) {
         print_line(&lines.items[i]);
         free(lines.items[i].source);
