--- a/ctl/commit.c
+++ b/ctl/commit.c
@@ -47,7 +47,7 @@
            code == ERR_NOT_FOUND;
 }
 
-/* One round. True when `result` is final. */
+/* Makes one attempt; returns true if `result` is final. */
 static bool
 try_commit(commit_t *commit, commit_result_t *result, uint64_t *version, err_t *err)
 {
--- a/ctl/instance_cmd.c
+++ b/ctl/instance_cmd.c
@@ -11,7 +11,7 @@
 
 typedef struct {
     const char *method;
-    char *path; /* NULL if the command is none of these */
+    char *path; /* NULL if no admin page serves the command */
 } admin_request_t;
 
 static char *
--- a/ctl/instance_cmd.h
+++ b/ctl/instance_cmd.h
@@ -1,4 +1,4 @@
-/* Commands that ask a running gateway at its admin address. */
+/* Commands sent to a running gateway's admin address. */
 #pragma once
 
 /* `argv` holds the command and its arguments; returns the exit status. */
--- a/ctl/session.c
+++ b/ctl/session.c
@@ -6,7 +6,7 @@
 
 enum { CALL_TIMEOUT_MS = 3000, CONNECTIONS = 2, IDLE_MS = 1000, BODY_MAX = 8 << 20 };
 
-#define UNLIMITED_RATE 1e6 /* an operator's calls are few */
+#define UNLIMITED_RATE 1e6 /* rate limits are not needed for an operator's calls */
 
 typedef struct {
     reply_t reply;
--- a/ctl/session.h
+++ b/ctl/session.h
@@ -1,4 +1,4 @@
-/* One operator's session with the platform: calls that wait for their answer. */
+/* An operator's session with the platform: blocking calls on the event loop. */
 #pragma once
 
 #include <stdbool.h>
@@ -17,15 +17,15 @@
     platform_t *platform;
     rng_t rng;
     bool json;
-    history_t history; /* edits and their outcomes, for tests */
+    history_t history; /* records edits and their outcomes */
 } session_t;
 
-/* An answer with a body of its own. */
+/* A response that owns its body. */
 typedef struct {
     err_t err;
-    int status; /* HTTP; of session_call() and session_fetch() only */
+    int status; /* HTTP status, set by session_call() and session_fetch() only */
     uint64_t version;
-    char *body; /* free() */
+    char *body; /* to be freed by the receiver */
     size_t len;
 } reply_t;
 
@@ -35,7 +35,7 @@
                     str_t body);
 reply_t session_list(session_t *session);
 reply_t session_instances(session_t *session);
-/* A call without a body to any address, e.g. of admin pages; session_fetch() is a GET. */
+/* Sends a request without a body to any address; session_fetch() is the GET variant. */
 reply_t session_call(session_t *session, const addr_t *addr, const char *method, const char *path);
 reply_t session_fetch(session_t *session, const addr_t *addr, const char *path);
 void session_sleep(session_t *session, uint64_t ms);
--- a/ctl/status_cmd.h
+++ b/ctl/status_cmd.h
@@ -1,9 +1,9 @@
-/* Operators' views of the running entries. Each returns the process's exit status. */
+/* Commands that query running entries. Each returns the process's exit status. */
 #pragma once
 
 #include "ctl/session.h"
 
-/* Every entry: versions in force, credits, ramps. */
+/* Prints each entry's adopted versions, credits and ramps. */
 int status_cmd_status(session_t *session);
-/* Why a client's requests go where they go: explain SERVICE CLIENT. */
+/* Explains the routing of a client's requests: explain SERVICE CLIENT. */
 int status_cmd_explain(session_t *session, int argc, char **argv);
--- a/ctl/table_file.c
+++ b/ctl/table_file.c
@@ -8,7 +8,7 @@
 
 enum { LINE_MAX_LEN = 512, FILE_COLUMN_COUNT = 6 };
 
-/* Before a row as the operator saw it, so that an import can tell others' changes from its own. */
+/* Marks a row as exported, so that an import can detect concurrent changes. */
 static const char seen_prefix[] = "#seen,";
 
 static void
@@ -33,7 +33,7 @@
         print_row(seen_prefix, &table->rows[i]);
 }
 
-/* A row of an exported file: the place and a text for each column. */
+/* A row of an exported file: the place and the text of each column. */
 typedef struct {
     char cell[FILE_COLUMN_COUNT][EDIT_VALUE_MAX];
 } file_row_t;
@@ -63,8 +63,8 @@
 } file_rows_t;
 
 struct table_file {
-    file_rows_t wanted; /* as the operator left the rows */
-    file_rows_t seen;   /* as they were when the file was written */
+    file_rows_t wanted; /* rows as edited by the operator */
+    file_rows_t seen;   /* rows as exported */
 };
 
 static void
@@ -110,7 +110,7 @@
     return NULL;
 }
 
-/* Adds the cells of `wanted` that differ from what was seen. */
+/* Adds the cells of `wanted` that differ from the exported row. */
 static bool
 add_changes(edit_t *edit, const table_t *table, const file_row_t *wanted, const file_row_t *seen,
             err_t *err)
--- a/ctl/trace_cmd.c
+++ b/ctl/trace_cmd.c
@@ -9,10 +9,10 @@
 enum { LINE_MAX_LEN = 4096 };
 
 typedef struct {
-    char *source; /* the file, or the instance that stands before the line */
-    char *text;   /* from "v=" on */
+    char *source; /* the instance name that prefixes the line, else the file */
+    char *text;   /* the line from "v=" on */
     char timestamp[32];
-    size_t order; /* keeps lines of the same time as they came */
+    size_t order; /* input order, to break ties of equal timestamps */
 } line_t;
 
 typedef struct {
@@ -20,7 +20,7 @@
     size_t count;
 } lines_t;
 
-/* True if `id` stands in the line as a whole value. */
+/* True if the line contains `id` as a whole value. */
 static bool
 contains_value(const char *text, const char *id)
 {
@@ -46,7 +46,7 @@
     if (timestamp != NULL)
         snprintf(item->timestamp, sizeof(item->timestamp), "%.*s",
                  (int)strcspn(timestamp + strlen(key), " "), timestamp + strlen(key));
-    /* Some collectors put the instance's name before each line. */
+    /* Some log collectors prefix each line with the instance's name. */
     const char *end = text;
     while (end > line && end[-1] == ' ')
         end--;
--- a/ctl/trace_cmd.h
+++ b/ctl/trace_cmd.h
@@ -1,4 +1,4 @@
-/* The story of one request, upstream or configuration version, from the logs of instances. */
+/* Merges the log lines about one request, backend server or configuration version by time. */
 #pragma once
 
 /* `argv` holds the id and the files; returns the exit status. */
