--- a/bin/load.c
+++ b/bin/load.c
@@ -45,7 +45,7 @@
             state.next_due_us[i] += gap_us(rate);
         }
     }
-    const bool over = now >= state.run.end_us && state.run.under_way == 0;
+    const bool over = now >= state.run.end_us && state.run.in_flight == 0;
     if (over || now > state.run.end_us + (uint64_t)LINGER_MS * 1000) {
         uv_timer_stop(timer);
         uv_stop(state.run.loop);
@@ -68,7 +68,7 @@
     }
     fprintf(stderr, "load: %3.0f s  whole %lu  other %lu  under way %zu  look-ups %lu\n",
             (double)(clock_wall_us() - state.run.start_us) / US_PER_S, (unsigned long)whole,
-            (unsigned long)other, state.run.under_way,
+            (unsigned long)other, state.run.in_flight,
             (unsigned long)steering_lookups(state.run.steering));
 }
 
--- a/load/report.c
+++ b/load/report.c
@@ -26,7 +26,7 @@
 }
 
 void
-report_place(class_report_t *report, str_t place, bool late)
+report_record_place(class_report_t *report, str_t place, bool late)
 {
     place_count_t *found = NULL;
     for (size_t i = 0; i < report->place_count && found == NULL; i++) {
--- a/load/report.h
+++ b/load/report.h
@@ -38,7 +38,7 @@
 
 const char *load_result_name(load_result_t result);
 void report_init(report_t *report, const load_config_t *config);
-void report_place(class_report_t *report, str_t place, bool late);
+void report_record_place(class_report_t *report, str_t place, bool late);
 void report_print(const report_t *report);
 /* Lines "experiment variant class metric value unit", separated by tabs. */
 bool report_append_tsv(const report_t *report, const char *path, const char *experiment,
--- a/load/request.c
+++ b/load/request.c
@@ -11,8 +11,8 @@
 /* Chosen, not measured. */
 enum {
     ID_SIZE = 48, /* bytes, with the end */
-    REPEATS_MAX = 3,
-    REPEAT_DELAY_MS = 300,
+    RETRIES_MAX = 3,
+    RETRY_DELAY_MS = 300,
 };
 
 typedef struct {
@@ -22,7 +22,7 @@
     uint64_t intended_us;
     char id[ID_SIZE];
     char key[STEERING_KEY_SIZE];
-    unsigned repeats;
+    unsigned retries;
     bool may_have_run; /* an earlier try went out, and nobody said what became of it */
     route_t route;
     size_t next_entry;
@@ -30,8 +30,8 @@
     char outcome[16];
     char error[32];
     char place[NAME_MAX_LEN + 1];
-    uint64_t got;
-    bool right;
+    uint64_t received;
+    bool matches;
     uv_timer_t timer;
     http_call_t *call;
 } request_t;
@@ -39,7 +39,7 @@
 static void send_request(request_t *r);
 
 static const load_class_t *
-class_of(const request_t *r)
+request_class(const request_t *r)
 {
     return &r->load->config.classes[r->class_index];
 }
@@ -58,16 +58,17 @@
     report->results[result]++;
     if (result == RESULT_WHOLE) {
         histogram_record(report->latency, now - r->intended_us);
-        report_place(report, str_from(r->place), now > (r->load->start_us + r->load->end_us) / 2);
+        report_record_place(report, str_from(r->place),
+                            now > (r->load->start_us + r->load->end_us) / 2);
     }
     history_write(&r->load->history, "recv",
                   "\"id\":\"%s\",\"class\":\"%s\",\"service\":\"%s\",\"key\":\"%s\",\"result\":"
                   "\"%s\",\"status\":%d,\"error\":\"%s\",\"place\":\"%s\",\"bytes\":%" PRIu64
                   ",\"latency_us\":%" PRIu64,
-                  r->id, class_of(r)->name.ptr, class_of(r)->service.ptr, r->key,
-                  load_result_name(result), r->status, r->error, r->place, r->got,
+                  r->id, request_class(r)->name.ptr, request_class(r)->service.ptr, r->key,
+                  load_result_name(result), r->status, r->error, r->place, r->received,
                   now - r->intended_us);
-    r->load->under_way--;
+    r->load->in_flight--;
     uv_timer_stop(&r->timer);
     uv_close((uv_handle_t *)&r->timer, on_timer_closed);
 }
@@ -77,10 +78,10 @@
 {
     request_t *r = ctx;
     r->status = head->status;
-    r->got = 0;
+    r->received = 0;
     const str_t id = http_head_find(head, STR("x-request-id"));
     const bool replayed = http_head_find(head, STR("x-irisstall-replayed")).len > 0;
-    r->right = replayed || str_eq(id, str_from(r->id));
+    r->matches = replayed || str_eq(id, str_from(r->id));
     snprintf(r->outcome, sizeof(r->outcome), "%.*s",
              STR_ARG(http_head_find(head, STR("x-irisstall-outcome"))));
     snprintf(r->error, sizeof(r->error), "%.*s",
@@ -89,7 +90,7 @@
 }
 
 static void
-on_read_again(uv_timer_t *timer)
+on_resume_timer(uv_timer_t *timer)
 {
     request_t *r = timer->data;
     if (r->call != NULL)
@@ -100,20 +101,20 @@
 on_data(void *ctx, const char *ptr, size_t len)
 {
     request_t *r = ctx;
-    if (r->status == 200 && !pattern_matches(str_from(r->id), r->got, ptr, len))
-        r->right = false;
-    r->got += len;
-    const uint32_t drain_rate = class_of(r)->drain_rate;
+    if (r->status == 200 && !pattern_matches(str_from(r->id), r->received, ptr, len))
+        r->matches = false;
+    r->received += len;
+    const uint32_t drain_rate = request_class(r)->drain_rate;
     if (drain_rate > 0 && r->call != NULL) {
         http_call_pause(r->call);
-        uv_timer_start(&r->timer, on_read_again, (uint64_t)len * 1000 / drain_rate + 1, 0);
+        uv_timer_start(&r->timer, on_resume_timer, (uint64_t)len * 1000 / drain_rate + 1, 0);
     }
 }
 
 /* What is known of the request after this try. A try that did not go out says nothing about earlier
  * ones; an entry's word counts for all of them (docs/CALLERS.md). */
 static load_result_t
-judge(const request_t *r, const http_result_t *result)
+classify_result(const request_t *r, const http_result_t *result)
 {
     if (result->err.code != ERR_NONE) {
         if (result->stage < HTTP_STAGE_SENT)
@@ -124,11 +125,11 @@
         return RESULT_NOT_RUN;
     if (strcmp(r->outcome, "unknown") == 0)
         return RESULT_UNKNOWN;
-    return r->right && r->got == class_of(r)->bytes ? RESULT_WHOLE : RESULT_WRONG;
+    return r->matches && r->received == request_class(r)->bytes ? RESULT_WHOLE : RESULT_WRONG;
 }
 
 static void
-on_repeat(uv_timer_t *timer)
+on_retry_timer(uv_timer_t *timer)
 {
     send_request(timer->data);
 }
@@ -139,30 +140,30 @@
     request_t *r = ctx;
     r->call = NULL;
     uv_timer_stop(&r->timer);
-    const load_result_t judged = judge(r, result);
-    const bool not_here = result->stage < HTTP_STAGE_SENT || strcmp(r->error, "not_ready") == 0;
-    const bool elsewhere = not_here && r->next_entry < r->route.count;
-    if (elsewhere) {
+    const load_result_t load_result = classify_result(r, result);
+    const bool not_handled = result->stage < HTTP_STAGE_SENT || strcmp(r->error, "not_ready") == 0;
+    const bool try_next_entry = not_handled && r->next_entry < r->route.count;
+    if (try_next_entry) {
         send_request(r);
         return;
     }
-    const bool unknown = judged == RESULT_UNKNOWN || judged == RESULT_BROKEN;
-    const bool again = class_of(r)->repeat_unknown && r->repeats < REPEATS_MAX && unknown;
-    if (!again) {
-        finish(r, judged);
+    const bool unknown = load_result == RESULT_UNKNOWN || load_result == RESULT_BROKEN;
+    const bool retry = request_class(r)->repeat_unknown && r->retries < RETRIES_MAX && unknown;
+    if (!retry) {
+        finish(r, load_result);
         return;
     }
     r->may_have_run = true;
-    r->repeats++;
+    r->retries++;
     r->next_entry = rng_below(&r->load->rng, r->route.count);
-    uv_timer_start(&r->timer, on_repeat, REPEAT_DELAY_MS, 0);
+    uv_timer_start(&r->timer, on_retry_timer, RETRY_DELAY_MS, 0);
 }
 
 static void
 send_request(request_t *r)
 {
     static const http_call_cbs_t cbs = {.on_head = on_head, .on_data = on_data, .on_end = on_end};
-    const load_class_t *class_ = class_of(r);
+    const load_class_t *class_ = request_class(r);
     const addr_t *addr = &r->route.entries[r->next_entry++];
     char key_line[STEERING_KEY_SIZE + 32] = "";
     if (r->key[0] != '\0')
@@ -208,7 +209,7 @@
     }
     r->route = *route;
     r->next_entry = 0;
-    switch (class_of(r)->keys) {
+    switch (request_class(r)->keys) {
     case KEYS_NONE:
         send_request(r);
         return;
@@ -227,7 +228,7 @@
 request_start(load_t *load, size_t class_index, uint64_t intended_us)
 {
     class_report_t *report = &load->report.classes[class_index];
-    if (load->under_way >= load->config.concurrency) {
+    if (load->in_flight >= load->config.concurrency) {
         report->missed++;
         return;
     }
@@ -239,8 +240,8 @@
     snprintf(r->id, sizeof(r->id), "%" PRIx64 "-%" PRIu64, load->run_id, load->sequence++);
     uv_timer_init(load->loop, &r->timer);
     r->timer.data = r;
-    load->under_way++;
+    load->in_flight++;
     history_write(&load->history, "send", "\"id\":\"%s\",\"class\":\"%s\",\"service\":\"%s\"",
-                  r->id, class_of(r)->name.ptr, class_of(r)->service.ptr);
+                  r->id, request_class(r)->name.ptr, request_class(r)->service.ptr);
     steering_route(load->steering, class_index, r->client, on_route, r);
 }
--- a/load/request.h
+++ b/load/request.h
@@ -24,7 +24,7 @@
     uint64_t sequence; /* second part */
     uint64_t start_us; /* wall */
     uint64_t end_us;
-    size_t under_way; /* requests */
+    size_t in_flight; /* requests */
 } load_t;
 
 /* Starts a request that was due at `intended_us`; counts it as missed if too many are under way. */
--- a/load/steering.c
+++ b/load/steering.c
@@ -13,25 +13,25 @@
     CONNECTIONS = 512,
     IDLE_MS = 5000,
     LOOKUP_TIMEOUT_MS = 2000,
-    LOOKUP_TRIES = 3,
+    LOOKUP_ATTEMPTS_MAX = 3,
     ANSWER_MAX = 32768,
-    KEYS_AT_ONCE = 50,
-    KEY_USE_MS = 8000, /* keys older than this are dropped unused */
+    KEY_BATCH_SIZE = 50,
+    KEY_LIFETIME_MS = 8000, /* keys older than this are dropped unused */
     KEY_PATH_MAX = 96,
     TARGETS_MAX = 256,
 };
 
 typedef struct {
     route_t route;
-    uint64_t until_ms;
-} kept_t;
+    uint64_t expires_ms;
+} cached_route_t;
 
 typedef struct {
     addr_t addr;
     http_target_t *target;
     char (*keys)[STEERING_KEY_SIZE];
     size_t key_count;
-    uint64_t keys_until_ms;
+    uint64_t keys_expire_ms;
 } entry_t;
 
 struct steering {
@@ -39,7 +39,7 @@
     http_client_t *client;
     const load_config_t *config;
     rng_t *rng;
-    kept_t *kept; /* classes x clients */
+    cached_route_t *cache; /* classes x clients */
     entry_t entries[TARGETS_MAX];
     size_t entry_count;
     uint64_t lookups;
@@ -50,7 +50,7 @@
     size_t class_index;
     uint32_t client;
     size_t first; /* entry asked first, the next ones after failures */
-    unsigned tries;
+    unsigned attempts;
     route_cb_t cb;
     void *ctx;
 } lookup_t;
@@ -76,12 +76,12 @@
     steering->client = client;
     steering->config = config;
     steering->rng = rng;
-    steering->kept = xcalloc(config->class_count * config->clients, sizeof(*steering->kept));
+    steering->cache = xcalloc(config->class_count * config->clients, sizeof(*steering->cache));
     return steering;
 }
 
 static entry_t *
-entry_at(steering_t *steering, const addr_t *addr)
+find_or_add_entry(steering_t *steering, const addr_t *addr)
 {
     for (size_t i = 0; i < steering->entry_count; i++) {
         if (addr_eq(&steering->entries[i].addr, addr))
@@ -91,14 +91,14 @@
     entry_t *entry = &steering->entries[steering->entry_count++];
     entry->addr = *addr;
     entry->target = http_target_new(steering->client, addr, CONNECTIONS, IDLE_MS);
-    entry->keys = xcalloc(KEYS_AT_ONCE, STEERING_KEY_SIZE);
+    entry->keys = xcalloc(KEY_BATCH_SIZE, STEERING_KEY_SIZE);
     return entry;
 }
 
 http_target_t *
 steering_target(steering_t *steering, const addr_t *addr)
 {
-    return entry_at(steering, addr)->target;
+    return find_or_add_entry(steering, addr)->target;
 }
 
 /* Address of a client block, as look-ups name it. */
@@ -133,18 +133,18 @@
 {
     lookup_t *lookup = ctx;
     steering_t *steering = lookup->steering;
-    kept_t *kept =
-        &steering->kept[lookup->class_index * steering->config->clients + lookup->client];
+    cached_route_t *cached =
+        &steering->cache[lookup->class_index * steering->config->clients + lookup->client];
     uint64_t ttl_ms;
     const bool ok = answer->result->err.code == ERR_NONE && answer->result->status == 200 &&
-                    parse_route(answer->body, &kept->route, &ttl_ms);
-    if (!ok && ++lookup->tries < LOOKUP_TRIES && answer->result->status != 404) {
+                    parse_route(answer->body, &cached->route, &ttl_ms);
+    if (!ok && ++lookup->attempts < LOOKUP_ATTEMPTS_MAX && answer->result->status != 404) {
         start_lookup(lookup);
         return;
     }
     if (ok)
-        kept->until_ms = now_ms() + ttl_ms;
-    lookup->cb(lookup->ctx, ok ? &kept->route : NULL);
+        cached->expires_ms = now_ms() + ttl_ms;
+    lookup->cb(lookup->ctx, ok ? &cached->route : NULL);
     free(lookup);
 }
 
@@ -158,7 +158,7 @@
     format_client(lookup->client, client);
     snprintf(path, sizeof(path), "/v1/lookup?service=%s&client=%s",
              config->classes[lookup->class_index].service.ptr, client);
-    const addr_t *addr = &config->entries[(lookup->first + lookup->tries) % config->entry_count];
+    const addr_t *addr = &config->entries[(lookup->first + lookup->attempts) % config->entry_count];
     const fetch_conf_t conf = {.target = steering_target(steering, addr),
                                .method = "GET",
                                .path = path,
@@ -172,9 +172,10 @@
 void
 steering_route(steering_t *steering, size_t class_index, uint32_t client, route_cb_t cb, void *ctx)
 {
-    const kept_t *kept = &steering->kept[class_index * steering->config->clients + client];
-    if (now_ms() < kept->until_ms) {
-        cb(ctx, &kept->route);
+    const cached_route_t *cached =
+        &steering->cache[class_index * steering->config->clients + client];
+    if (now_ms() < cached->expires_ms) {
+        cb(ctx, &cached->route);
         return;
     }
     lookup_t *lookup = xmalloc(sizeof(*lookup));
@@ -187,32 +188,32 @@
 on_keys(void *ctx, const fetch_answer_t *answer)
 {
     key_fetch_t *fetch = ctx;
-    entry_t *entry = entry_at(fetch->steering, &fetch->addr);
+    entry_t *entry = find_or_add_entry(fetch->steering, &fetch->addr);
     json_t *root = json_loadb(answer->body.ptr, answer->body.len, 0, NULL);
     size_t i;
     json_t *item;
     json_array_foreach(json_object_get(root, "keys"), i, item)
     {
         const char *text = json_string_value(item);
-        if (text == NULL || entry->key_count == KEYS_AT_ONCE || strlen(text) >= STEERING_KEY_SIZE)
+        if (text == NULL || entry->key_count == KEY_BATCH_SIZE || strlen(text) >= STEERING_KEY_SIZE)
             break;
         memcpy(entry->keys[entry->key_count++], text, strlen(text) + 1);
     }
     json_decref(root);
-    entry->keys_until_ms = now_ms() + KEY_USE_MS;
+    entry->keys_expire_ms = now_ms() + KEY_LIFETIME_MS;
     char key[STEERING_KEY_SIZE];
-    const bool have = entry->key_count > 0;
-    if (have)
+    const bool found = entry->key_count > 0;
+    if (found)
         memcpy(key, entry->keys[--entry->key_count], sizeof(key));
-    fetch->cb(fetch->ctx, have ? key : NULL);
+    fetch->cb(fetch->ctx, found ? key : NULL);
     free(fetch);
 }
 
 void
 steering_key(steering_t *steering, const addr_t *addr, key_cb_t cb, void *ctx)
 {
-    entry_t *entry = entry_at(steering, addr);
-    if (now_ms() >= entry->keys_until_ms)
+    entry_t *entry = find_or_add_entry(steering, addr);
+    if (now_ms() >= entry->keys_expire_ms)
         entry->key_count = 0;
     if (entry->key_count > 0) {
         char key[STEERING_KEY_SIZE];
@@ -223,7 +224,7 @@
     key_fetch_t *fetch = xmalloc(sizeof(*fetch));
     *fetch = (key_fetch_t){.steering = steering, .addr = *addr, .cb = cb, .ctx = ctx};
     char path[KEY_PATH_MAX];
-    snprintf(path, sizeof(path), "/v1/keys?count=%d", KEYS_AT_ONCE);
+    snprintf(path, sizeof(path), "/v1/keys?count=%d", KEY_BATCH_SIZE);
     const fetch_conf_t conf = {.target = entry->target,
                                .method = "GET",
                                .path = path,
--- a/test/test_load.c
+++ b/test/test_load.c
@@ -9,18 +9,18 @@
 #include "load/request.h"
 #include "test/suites.h"
 
-enum { PATIENCE_MS = 10000, TIMEOUT_MS = 200, TEXT_SIZE = 512 };
+enum { WAIT_MAX_MS = 10000, TIMEOUT_MS = 200, TEXT_SIZE = 512 };
 
 /* What the entry does with a request; the last part lasts. */
-typedef enum { LOSE, REFUSE_CONNECTION, SAY_NOT_RUN, SAY_RAN } deed_t;
+typedef enum { DROP_RESPONSE, REFUSE_CONNECTION, RESPOND_NOT_RUN, RESPOND_RAN } action_t;
 
 /* An entry that answers look-ups and does with requests what its list says. */
 typedef struct {
     uv_loop_t loop;
     uv_tcp_t listener;
     addr_t addr;
-    const deed_t *deeds;
-    size_t deed_count;
+    const action_t *actions;
+    size_t action_count;
     size_t requests;
     load_t load;
 } fake_entry_t;
@@ -44,16 +44,16 @@
     uv_write(&peer->write, (uv_stream_t *)&peer->tcp, &buf, 1, NULL);
 }
 
-static deed_t
-deed_at(const fake_entry_t *entry, size_t request)
+static action_t
+action_at(const fake_entry_t *entry, size_t request)
 {
-    return entry->deeds[request < entry->deed_count ? request : entry->deed_count - 1];
+    return entry->actions[request < entry->action_count ? request : entry->action_count - 1];
 }
 
 static void
 close_if_next_is_refused(fake_entry_t *entry)
 {
-    if (deed_at(entry, entry->requests) == REFUSE_CONNECTION &&
+    if (action_at(entry, entry->requests) == REFUSE_CONNECTION &&
         !uv_is_closing((uv_handle_t *)&entry->listener))
         uv_close((uv_handle_t *)&entry->listener, NULL);
 }
@@ -69,10 +69,10 @@
         snprintf(body, sizeof(body), "{\"ttl_ms\":60000,\"entries\":[\"%s\"]}", addr);
         send_answer(peer, 200, "ran", body);
     } else {
-        const deed_t deed = deed_at(entry, entry->requests++);
-        if (deed == SAY_NOT_RUN)
+        const action_t action = action_at(entry, entry->requests++);
+        if (action == RESPOND_NOT_RUN)
             send_answer(peer, 503, "not_run", "");
-        else if (deed == SAY_RAN)
+        else if (action == RESPOND_RAN)
             send_answer(peer, 200, "ran", "");
     }
     close_if_next_is_refused(entry);
@@ -114,11 +114,11 @@
 }
 
 static fake_entry_t *
-start_entry(const deed_t *deeds, size_t deed_count)
+start_entry(const action_t *actions, size_t action_count)
 {
     fake_entry_t *entry = xcalloc(1, sizeof(*entry));
-    entry->deeds = deeds;
-    entry->deed_count = deed_count;
+    entry->actions = actions;
+    entry->action_count = action_count;
     uv_loop_init(&entry->loop);
     uv_tcp_init(&entry->loop, &entry->listener);
     entry->listener.data = entry;
@@ -153,10 +153,10 @@
     load->steering = steering_new(&entry->loop, http_client_new(&entry->loop), config, &load->rng);
     report_init(&load->report, config);
     request_start(load, 0, clock_wall_us());
-    const uint64_t until = clock_steady_ms(clock_system()) + PATIENCE_MS;
-    while (load->under_way > 0 && clock_steady_ms(clock_system()) < until)
+    const uint64_t deadline_ms = clock_steady_ms(clock_system()) + WAIT_MAX_MS;
+    while (load->in_flight > 0 && clock_steady_ms(clock_system()) < deadline_ms)
         uv_run(&entry->loop, UV_RUN_NOWAIT);
-    ck_assert_uint_eq(load->under_way, 0);
+    ck_assert_uint_eq(load->in_flight, 0);
     for (size_t i = 0; i < RESULT_COUNT; i++) {
         if (load->report.classes[0].results[i] > 0)
             return (load_result_t)i;
@@ -165,29 +165,29 @@
 }
 
 static const struct {
-    deed_t deeds[2];
+    action_t actions[2];
     load_result_t result;
 } cases[] = {
     /* The first copy may run yet, whatever became of the second. */
-    {{LOSE, REFUSE_CONNECTION}, RESULT_UNKNOWN},
+    {{DROP_RESPONSE, REFUSE_CONNECTION}, RESULT_UNKNOWN},
     /* The entry's word counts for all copies: a false one is for the checker to find. */
-    {{LOSE, SAY_NOT_RUN}, RESULT_NOT_RUN},
-    {{LOSE, SAY_RAN}, RESULT_WHOLE},
-    {{LOSE, LOSE}, RESULT_UNKNOWN},
-    {{SAY_NOT_RUN, SAY_RAN}, RESULT_NOT_RUN},
+    {{DROP_RESPONSE, RESPOND_NOT_RUN}, RESULT_NOT_RUN},
+    {{DROP_RESPONSE, RESPOND_RAN}, RESULT_WHOLE},
+    {{DROP_RESPONSE, DROP_RESPONSE}, RESULT_UNKNOWN},
+    {{RESPOND_NOT_RUN, RESPOND_RAN}, RESULT_NOT_RUN},
 };
 
-START_TEST(a_lost_try_is_not_forgotten)
+START_TEST(lost_attempt_counts_in_result)
 {
-    fake_entry_t *entry = start_entry(cases[_i].deeds, ALEN(cases[_i].deeds));
+    fake_entry_t *entry = start_entry(cases[_i].actions, ALEN(cases[_i].actions));
     ck_assert_int_eq(result_of_request(entry), cases[_i].result);
 }
 END_TEST
 
-START_TEST(a_request_that_never_went_out_has_not_run)
+START_TEST(unsent_request_is_not_run)
 {
-    static const deed_t deeds[] = {REFUSE_CONNECTION};
-    fake_entry_t *entry = start_entry(deeds, ALEN(deeds));
+    static const action_t actions[] = {REFUSE_CONNECTION};
+    fake_entry_t *entry = start_entry(actions, ALEN(actions));
     ck_assert_int_eq(result_of_request(entry), RESULT_NOT_RUN);
     ck_assert_uint_eq(entry->requests, 0);
 }
@@ -199,8 +199,8 @@
     Suite *suite = suite_create("load");
     TCase *tcase = tcase_create("outcomes");
     tcase_set_timeout(tcase, 30);
-    tcase_add_loop_test(tcase, a_lost_try_is_not_forgotten, 0, ALEN(cases));
-    tcase_add_test(tcase, a_request_that_never_went_out_has_not_run);
+    tcase_add_loop_test(tcase, lost_attempt_counts_in_result, 0, ALEN(cases));
+    tcase_add_test(tcase, unsent_request_is_not_run);
     suite_add_tcase(suite, tcase);
     return suite;
 }
