--- a/load/config.h
+++ b/load/config.h
@@ -1,4 +1,4 @@
-/* Configuration of a load run: YAML, checked whole at start. */
+/* Configuration of a load run, read from YAML and validated at startup. */
 #pragma once
 
 #include <stdbool.h>
@@ -18,22 +18,22 @@
     name_t service;
     name_t method;
     char path[64];
-    double rate;         /* requests a second, open loop */
-    uint32_t service_ms; /* work asked of the backend server */
-    uint32_t bytes;      /* length of the answer */
+    double rate;         /* requests/s, open loop */
+    uint32_t service_ms; /* service time requested from the backend server */
+    uint32_t bytes;      /* length of the response body */
     uint32_t timeout_ms;
-    uint32_t drain_rate; /* bytes a second the caller reads; 0: as fast as it can */
+    uint32_t drain_rate; /* bytes/s the client reads; 0: unlimited */
     key_mode_t keys;
-    bool repeat_unknown; /* ask again under the same key when the outcome is unknown */
+    bool repeat_unknown; /* retry with the same key when the outcome is unknown */
 } load_class_t;
 
 typedef struct {
-    addr_t entries[LOAD_ENTRIES_MAX]; /* asked for look-ups */
+    addr_t entries[LOAD_ENTRIES_MAX]; /* entries that are sent lookups */
     size_t entry_count;
     load_class_t classes[LOAD_CLASSES_MAX];
     size_t class_count;
-    uint32_t clients;     /* client blocks that requests come from */
-    uint32_t concurrency; /* most requests under way; more are counted as missed */
+    uint32_t clients;     /* number of simulated client blocks */
+    uint32_t concurrency; /* limit of requests in flight; more are counted as missed */
 } load_config_t;
 
 bool load_config_read(const char *path, load_config_t *config, err_t *err);
--- a/load/pattern.h
+++ b/load/pattern.h
@@ -1,6 +1,6 @@
 /*
- * Answer bodies of the test bench: byte i of the answer to request `id` is (hash(id) + i) mod
- * 256, so that a caller recognises a missing, foreign or reordered part at once.
+ * Response bodies for tests: byte i of the response to request `id` is (hash(id) + i) mod 256, so
+ * that the client detects missing, foreign and reordered parts.
  */
 #pragma once
 
@@ -12,6 +12,6 @@
 
 enum { PATTERN_CHUNK = 32768 };
 
-/* PATTERN_CHUNK bytes of the body of `id` from offset `at` on; valid for ever. */
+/* Returns PATTERN_CHUNK bytes of the body of `id` from offset `at`, in static storage. */
 const char *pattern_bytes(str_t id, uint64_t at);
 bool pattern_matches(str_t id, uint64_t at, const char *ptr, size_t len);
--- a/load/report.h
+++ b/load/report.h
@@ -1,4 +1,4 @@
-/* What a load run measured, per request class, and its printed forms. */
+/* Measurements of a load run per request class, and their output formats. */
 #pragma once
 
 #include "base/counter.h"
@@ -7,25 +7,25 @@
 enum { REPORT_PLACES_MAX = 512 };
 
 typedef enum {
-    RESULT_WHOLE,    /* the whole right answer */
-    RESULT_NOT_RUN,  /* told that it was not run */
-    RESULT_UNKNOWN,  /* told that nobody knows */
-    RESULT_BROKEN,   /* the answer broke off, seen as such */
-    RESULT_WRONG,    /* a whole answer that is not the request's own */
-    RESULT_NO_ROUTE, /* no look-up answered */
+    RESULT_WHOLE,    /* complete, correct response */
+    RESULT_NOT_RUN,  /* the request did not run */
+    RESULT_UNKNOWN,  /* it is not known whether the request ran */
+    RESULT_BROKEN,   /* the response was cut off, detected by the client */
+    RESULT_WRONG,    /* complete response with the wrong content */
+    RESULT_NO_ROUTE, /* no lookup or key request succeeded */
     RESULT_COUNT,
 } load_result_t;
 
 typedef struct {
     name_t name;
-    uint64_t early; /* answers in the first half of the run */
+    uint64_t early; /* responses in the first half of the run */
     uint64_t late;
 } place_count_t;
 
 typedef struct {
-    histogram_t *latency; /* of whole answers, from the intended send time */
+    histogram_t *latency; /* of complete responses, from the intended send time */
     uint64_t results[RESULT_COUNT];
-    uint64_t missed; /* not sent: too many under way */
+    uint64_t missed; /* not sent: too many in flight */
     place_count_t places[REPORT_PLACES_MAX];
     size_t place_count;
 } class_report_t;
@@ -40,6 +40,6 @@
 void report_init(report_t *report, const load_config_t *config);
 void report_record_place(class_report_t *report, str_t place, bool late);
 void report_print(const report_t *report);
-/* Lines "experiment variant class metric value unit", separated by tabs. */
+/* Appends tab-separated lines "experiment variant class metric value unit". */
 bool report_append_tsv(const report_t *report, const char *path, const char *experiment,
                        const char *variant, err_t *err);
--- a/load/request.c
+++ b/load/request.c
@@ -8,9 +8,8 @@
 #include "load/pattern.h"
 #include "load/request.h"
 
-/* Chosen, not measured. */
 enum {
-    ID_SIZE = 48, /* bytes, with the end */
+    ID_SIZE = 48, /* includes the terminator */
     RETRIES_MAX = 3,
     RETRY_DELAY_MS = 300,
 };
@@ -23,7 +22,7 @@
     char id[ID_SIZE];
     char key[STEERING_KEY_SIZE];
     unsigned retries;
-    bool may_have_run; /* an earlier try went out, and nobody said what became of it */
+    bool may_have_run; /* an earlier attempt was sent and its outcome is unknown */
     route_t route;
     size_t next_entry;
     int status;
@@ -111,8 +110,8 @@
     }
 }
 
-/* What is known of the request after this try. A try that did not go out says nothing about earlier
- * ones; an entry's word counts for all of them (docs/CALLERS.md). */
+/* Derives the request's outcome from an attempt's result. An unsent attempt says nothing about
+ * earlier ones; an outcome reported by an entry covers them all (docs/CALLERS.md). */
 static load_result_t
 classify_result(const request_t *r, const http_result_t *result)
 {
@@ -186,7 +185,7 @@
 on_key(void *ctx, const char *key)
 {
     request_t *r = ctx;
-    if (key == NULL && r->next_entry + 1 < r->route.count) { /* e.g. it is leaving */
+    if (key == NULL && r->next_entry + 1 < r->route.count) { /* e.g. the entry is leaving */
         r->next_entry++;
         steering_key(r->load->steering, &r->route.entries[r->next_entry], on_key, r);
         return;
--- a/load/request.h
+++ b/load/request.h
@@ -1,8 +1,7 @@
 /*
- * One request of the load, as a caller makes it: look-up, key, call, repeats, verdict.
+ * A simulated client request: lookup, key, call, retries and outcome.
  *
- * Its outcome goes to the report and the history. Owns the request until it is finished; the run it
- * belongs to (load_t) is its owner's. Relies on steering.h for look-ups and keys, on http/call.h.
+ * Records the outcome in the run's report and history, then frees the request.
  */
 #pragma once
 
@@ -12,7 +11,7 @@
 #include "load/report.h"
 #include "load/steering.h"
 
-/* A run of the load. */
+/* State of a load run. */
 typedef struct {
     uv_loop_t *loop;
     steering_t *steering;
@@ -20,12 +19,12 @@
     report_t report;
     history_t history;
     rng_t rng;
-    uint64_t run_id;   /* first part of each request's id */
-    uint64_t sequence; /* second part */
-    uint64_t start_us; /* wall */
+    uint64_t run_id;   /* prefix of request ids */
+    uint64_t sequence; /* suffix of the next request id */
+    uint64_t start_us; /* wall clock */
     uint64_t end_us;
     size_t in_flight; /* requests */
 } load_t;
 
-/* Starts a request that was due at `intended_us`; counts it as missed if too many are under way. */
+/* Starts a request due at `intended_us`; counts it as missed if too many are in flight. */
 void request_start(load_t *load, size_t class_index, uint64_t intended_us);
--- a/load/steering.c
+++ b/load/steering.c
@@ -16,7 +16,7 @@
     LOOKUP_ATTEMPTS_MAX = 3,
     ANSWER_MAX = 32768,
     KEY_BATCH_SIZE = 50,
-    KEY_LIFETIME_MS = 8000, /* keys older than this are dropped unused */
+    KEY_LIFETIME_MS = 8000, /* unused keys are discarded after this time */
     KEY_PATH_MAX = 96,
     TARGETS_MAX = 256,
 };
@@ -39,7 +39,7 @@
     http_client_t *client;
     const load_config_t *config;
     rng_t *rng;
-    cached_route_t *cache; /* classes x clients */
+    cached_route_t *cache; /* indexed by class and client */
     entry_t entries[TARGETS_MAX];
     size_t entry_count;
     uint64_t lookups;
@@ -49,7 +49,7 @@
     steering_t *steering;
     size_t class_index;
     uint32_t client;
-    size_t first; /* entry asked first, the next ones after failures */
+    size_t first; /* index of the entry tried first */
     unsigned attempts;
     route_cb_t cb;
     void *ctx;
@@ -101,7 +101,7 @@
     return find_or_add_entry(steering, addr)->target;
 }
 
-/* Address of a client block, as look-ups name it. */
+/* Formats the client block's address for lookups. */
 static void
 format_client(uint32_t client, char out[32])
 {
--- a/load/steering.h
+++ b/load/steering.h
@@ -1,4 +1,4 @@
-/* What a caller does before it sends: look-ups, kept for their lifetime, and keys. */
+/* Client-side steering: lookups, cached for their lifetime, and idempotency keys. */
 #pragma once
 
 #include "base/rng.h"
@@ -14,18 +14,18 @@
     size_t count;
 } route_t;
 
-/* `route` is NULL if no look-up was answered with a place. */
+/* `route` is NULL if no lookup returned an entry. */
 typedef void (*route_cb_t)(void *ctx, const route_t *route);
-/* `key` is NULL if none could be had. */
+/* `key` is NULL if no key was obtained. */
 typedef void (*key_cb_t)(void *ctx, const char *key);
 
 steering_t *steering_new(uv_loop_t *loop, http_client_t *client, const load_config_t *config,
                          rng_t *rng);
-/* Finds entries for a client block's requests; calls back at once if a kept answer lives. */
+/* Looks up entries for a client block's requests; calls back immediately on a cache hit. */
 void steering_route(steering_t *steering, size_t class_index, uint32_t client, route_cb_t cb,
                     void *ctx);
-/* Gets a key minted by the entry at `addr`. */
+/* Obtains an idempotency key from the entry at `addr`. */
 void steering_key(steering_t *steering, const addr_t *addr, key_cb_t cb, void *ctx);
-/* Connections to an entry, made on first use. */
+/* Returns the entry's connection pool, created on first use. */
 http_target_t *steering_target(steering_t *steering, const addr_t *addr);
 uint64_t steering_lookups(const steering_t *steering);
--- a/test/test_load.c
+++ b/test/test_load.c
@@ -1,4 +1,4 @@
-/* The load's callers: what they report of a request after tries that end in different ways. */
+/* Tests of the load generator: the reported outcome of a request after several attempts. */
 #include <arpa/inet.h>
 #include <stdio.h>
 #include <string.h>
@@ -11,10 +11,10 @@
 
 enum { WAIT_MAX_MS = 10000, TIMEOUT_MS = 200, TEXT_SIZE = 512 };
 
-/* What the entry does with a request; the last part lasts. */
+/* How the fake entry handles a request; the last action is repeated. */
 typedef enum { DROP_RESPONSE, REFUSE_CONNECTION, RESPOND_NOT_RUN, RESPOND_RAN } action_t;
 
-/* An entry that answers look-ups and does with requests what its list says. */
+/* A fake entry that answers lookups and handles requests according to a list of actions. */
 typedef struct {
     uv_loop_t loop;
     uv_tcp_t listener;
@@ -130,7 +130,7 @@
     return entry;
 }
 
-/* Makes one keyed request, repeated while its outcome is unknown, and returns its result. */
+/* Sends one keyed request, retried while its outcome is unknown, and returns its result. */
 static load_result_t
 result_of_request(fake_entry_t *entry)
 {
@@ -168,9 +168,9 @@
     action_t actions[2];
     load_result_t result;
 } cases[] = {
-    /* The first copy may run yet, whatever became of the second. */
+    /* The first attempt may still run, whatever the outcome of the second. */
     {{DROP_RESPONSE, REFUSE_CONNECTION}, RESULT_UNKNOWN},
-    /* The entry's word counts for all copies: a false one is for the checker to find. */
+    /* An outcome reported by the entry covers all attempts; the checker detects false ones. */
     {{DROP_RESPONSE, RESPOND_NOT_RUN}, RESULT_NOT_RUN},
     {{DROP_RESPONSE, RESPOND_RAN}, RESULT_WHOLE},
     {{DROP_RESPONSE, DROP_RESPONSE}, RESULT_UNKNOWN},
