--- a/bin/check.c
+++ b/bin/check.c
@@ -16,8 +16,11 @@
 static void
 print_verdict(const verdict_t *verdict)
 {
-    const char *word = verdict->violations > 0 ? "BROKEN" : verdict->examined > 0 ? "held" : "-";
-    printf("%-7s %9zu %7zu  %s", word, verdict->examined, verdict->violations, verdict->guarantee);
+    const char *status_text = verdict->violations > 0 ? "BROKEN"
+                              : verdict->examined > 0 ? "held"
+                                                      : "-";
+    printf("%-7s %9zu %7zu  %s", status_text, verdict->examined, verdict->violations,
+           verdict->guarantee);
     if (verdict->note[0] != '\0')
         printf(" (%s)", verdict->note);
     putchar('\n');
--- a/bin/gateway.c
+++ b/bin/gateway.c
@@ -24,7 +24,7 @@
 
 enum {
     EXIT_SETTINGS = 2,
-    SETTINGS_CHECK_MS = 2000, /* the file may change without a signal. Chosen, not measured */
+    SETTINGS_POLL_MS = 2000, /* the file may change without a signal. Chosen, not measured */
 };
 
 static const char *const settings_variable = "IRISSTALL_SETTINGS";
@@ -32,8 +32,8 @@
 typedef struct {
     uv_loop_t *loop;
     const char *path;
-    struct timespec changed; /* of the settings file, when it was last read */
-    bool unreadable;         /* the settings file could not be looked at */
+    struct timespec settings_mtime; /* of the settings file, when it was last read */
+    bool unreadable;                /* the settings file could not be looked at */
     gateway_t *gateway;
 } process_t;
 
@@ -79,7 +79,7 @@
 
 /* The file may change without a signal. */
 static void
-on_check_file(uv_timer_t *timer)
+on_settings_timer(uv_timer_t *timer)
 {
     process_t *process = timer->data;
     struct stat info;
@@ -89,11 +89,11 @@
     process->unreadable = unreadable;
     if (unreadable)
         return;
-    if (info.st_mtim.tv_sec == process->changed.tv_sec &&
-        info.st_mtim.tv_nsec == process->changed.tv_nsec)
+    if (info.st_mtim.tv_sec == process->settings_mtime.tv_sec &&
+        info.st_mtim.tv_nsec == process->settings_mtime.tv_nsec)
         return;
-    const bool first = process->changed.tv_sec == 0;
-    process->changed = info.st_mtim;
+    const bool first = process->settings_mtime.tv_sec == 0;
+    process->settings_mtime = info.st_mtim;
     if (!first)
         reload(process);
 }
@@ -102,7 +102,7 @@
 run(const char *path, const gateway_settings_t *settings)
 {
     static uv_signal_t on_term, on_int, on_hup;
-    static uv_timer_t check_file;
+    static uv_timer_t settings_timer;
     process_t process = {.loop = uv_default_loop(), .path = path};
     err_t err = {0};
     signal(SIGPIPE, SIG_IGN);
@@ -125,9 +125,9 @@
     signal_watch(process.loop, &on_term, SIGTERM, on_stop_signal, &process);
     signal_watch(process.loop, &on_int, SIGINT, on_stop_signal, &process);
     signal_watch(process.loop, &on_hup, SIGHUP, on_hangup, &process);
-    uv_timer_init(process.loop, &check_file);
-    check_file.data = &process;
-    uv_timer_start(&check_file, on_check_file, 0, SETTINGS_CHECK_MS);
+    uv_timer_init(process.loop, &settings_timer);
+    settings_timer.data = &process;
+    uv_timer_start(&settings_timer, on_settings_timer, 0, SETTINGS_POLL_MS);
     uv_run(process.loop, UV_RUN_DEFAULT);
     return EXIT_SUCCESS;
 }
@@ -135,7 +135,7 @@
 typedef struct {
     const char *path;
     log_level_t level;
-    bool only_test;
+    bool check_only;
 } options_t;
 
 /* True if the program goes on; else `*status` is its exit status. */
@@ -161,7 +161,7 @@
             }
             break;
         case 't':
-            out->only_test = true;
+            out->check_only = true;
             break;
         case 'h':
             usage(stdout);
@@ -202,7 +202,7 @@
     }
     if (!gateway_settings_load(options.path, &settings, &err))
         return fail(&err, EXIT_SETTINGS);
-    if (options.only_test)
+    if (options.check_only)
         return EXIT_SUCCESS;
     if (!log_open_stdout(options.level, &err))
         return fail(&err, EXIT_FAILURE);
--- a/bin/load.c
+++ b/bin/load.c
@@ -16,7 +16,7 @@
 enum {
     TICK_MS = 1,
     PROGRESS_MS = 1000,
-    LINGER_MS = 30000, /* after the last request was due */
+    DRAIN_TIMEOUT_MS = 30000, /* after the last request was due */
     US_PER_S = 1000000,
 };
 
@@ -28,7 +28,7 @@
 
 /* Time to the next request of a Poisson process. */
 static double
-gap_us(double rate)
+next_interval_us(double rate)
 {
     return -log(1 - rng_unit(&state.run.rng)) / rate * US_PER_S;
 }
@@ -42,11 +42,11 @@
         while (rate > 0 && state.next_due_us[i] <= (double)now &&
                state.next_due_us[i] < (double)state.run.end_us) {
             request_start(&state.run, i, (uint64_t)state.next_due_us[i]);
-            state.next_due_us[i] += gap_us(rate);
+            state.next_due_us[i] += next_interval_us(rate);
         }
     }
-    const bool over = now >= state.run.end_us && state.run.in_flight == 0;
-    if (over || now > state.run.end_us + (uint64_t)LINGER_MS * 1000) {
+    const bool done = now >= state.run.end_us && state.run.in_flight == 0;
+    if (done || now > state.run.end_us + (uint64_t)DRAIN_TIMEOUT_MS * 1000) {
         uv_timer_stop(timer);
         uv_stop(state.run.loop);
     }
@@ -143,7 +143,7 @@
 }
 
 static void
-prepare(const options_t *options)
+init_run(const options_t *options)
 {
     state.run.loop = uv_default_loop();
     state.run.rng = (rng_t){.state = options->seed};
@@ -159,7 +159,7 @@
         load_class_t *class_ = &state.run.config.classes[i];
         class_->rate *= options->factor;
         if (class_->rate > 0)
-            state.next_due_us[i] = (double)state.run.start_us + gap_us(class_->rate);
+            state.next_due_us[i] = (double)state.run.start_us + next_interval_us(class_->rate);
     }
 }
 
@@ -191,7 +191,7 @@
         return 2;
     }
     signal(SIGPIPE, SIG_IGN);
-    prepare(&options);
+    init_run(&options);
     run();
     history_close(&state.run.history);
     report_print(&state.run.report);
--- a/bin/slopes.c
+++ b/bin/slopes.c
@@ -26,16 +26,16 @@
 
 enum {
     CHUNK = 65536,
-    LOOKUPS = 2000000,
+    LOOKUP_COUNT = 2000000,
     REGIONS = 26,
     HALLS_PER_REGION = 2,
-    IPV6_PART = 5, /* one block in five is IPv6 */
-    REPEAT = 50,
-    KEYS_ROUND = 20000,
+    IPV6_DIVISOR = 5, /* one block in five is IPv6 */
+    REPETITIONS = 50,
+    PICK_COUNT = 20000,
 };
 
 static double
-now_s(void)
+cpu_time_s(void)
 {
     struct timespec ts;
     clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &ts);
@@ -83,7 +83,7 @@
 }
 
 static void
-free_list(block_list_t *list)
+block_list_free(block_list_t *list)
 {
     free(list->starts);
     free(list->areas);
@@ -96,7 +96,7 @@
 }
 
 static char *
-pack(const block_list_t *list, uint64_t set, size_t index, size_t *len)
+pack_chunk(const block_list_t *list, uint64_t set, size_t index, size_t *len)
 {
     const size_t from = index * CHUNK;
     const size_t n = list->count - from < CHUNK ? list->count - from : CHUNK;
@@ -106,18 +106,18 @@
 
 /* Loads a whole set; returns the longest time one chunk took. */
 static double
-load_list(blocks_t *blocks, const block_list_t *list, uint64_t set)
+load_blocks(blocks_t *blocks, const block_list_t *list, uint64_t set)
 {
     double longest = 0;
     for (size_t i = 0; i < chunk_count(list); i++) {
         size_t len;
         err_t err = {0};
-        char *bytes = pack(list, set, i, &len);
-        const double start = now_s();
+        char *bytes = pack_chunk(list, set, i, &len);
+        const double start = cpu_time_s();
         if (!blocks_add_chunk(blocks, (str_t){bytes, len}, &err))
             BUG(err.detail);
-        const double took = now_s() - start;
-        longest = took > longest ? took : longest;
+        const double elapsed = cpu_time_s() - start;
+        longest = elapsed > longest ? elapsed : longest;
         free(bytes);
     }
     return longest;
@@ -144,25 +144,25 @@
 {
     rng_t rng = {.state = 9};
     uint32_t *flat = xcalloc(list->count, sizeof(*flat));
-    uint32_t *keys = xcalloc(LOOKUPS, sizeof(*keys));
+    uint32_t *keys = xcalloc(LOOKUP_COUNT, sizeof(*keys));
     for (size_t i = 0; i < list->count; i++)
         flat[i] = (uint32_t)list->starts[i];
-    for (size_t i = 0; i < LOOKUPS; i++)
+    for (size_t i = 0; i < LOOKUP_COUNT; i++)
         keys[i] = (uint32_t)rng_below(&rng, 0xdfffffff);
     uint64_t sum = 0;
-    double start = now_s();
-    for (size_t i = 0; i < LOOKUPS; i++)
+    double start = cpu_time_s();
+    for (size_t i = 0; i < LOOKUP_COUNT; i++)
         sum += plain_search(flat, list->count, keys[i]);
-    const double plain = (now_s() - start) / LOOKUPS;
-    start = now_s();
-    for (size_t i = 0; i < LOOKUPS; i++) {
+    const double plain_s = (cpu_time_s() - start) / LOOKUP_COUNT;
+    start = cpu_time_s();
+    for (size_t i = 0; i < LOOKUP_COUNT; i++) {
         const client_addr_t addr = {.family = 4, .key = keys[i]};
         sum += blocks_area(blocks, &addr);
     }
-    const double ours = (now_s() - start) / LOOKUPS;
-    report("blocks", total, "lookup", ours * 1e9, "ns");
-    report("blocks", total, "plain_binary_search", plain * 1e9, "ns");
-    report("blocks", total, "lookup_over_plain", ours / plain, "ratio");
+    const double blocks_s = (cpu_time_s() - start) / LOOKUP_COUNT;
+    report("blocks", total, "lookup", blocks_s * 1e9, "ns");
+    report("blocks", total, "plain_binary_search", plain_s * 1e9, "ns");
+    report("blocks", total, "lookup_over_plain", blocks_s / plain_s, "ratio");
     if (sum == 1)
         puts("");
     free(flat);
@@ -173,20 +173,20 @@
 measure_blocks(size_t total)
 {
     rng_t rng = {.state = total};
-    block_list_t v6 = make_blocks(6, total / IPV6_PART, &rng);
-    block_list_t v4 = make_blocks(4, total - total / IPV6_PART, &rng);
+    block_list_t v6 = make_blocks(6, total / IPV6_DIVISOR, &rng);
+    block_list_t v4 = make_blocks(4, total - total / IPV6_DIVISOR, &rng);
     blocks_t *blocks = blocks_new();
     const size_t before = heap_bytes();
-    const double start = now_s();
-    load_list(blocks, &v4, 1);
-    load_list(blocks, &v6, 1);
-    report("blocks", total, "load_set", (now_s() - start) * 1e3, "ms");
+    const double start = cpu_time_s();
+    load_blocks(blocks, &v4, 1);
+    load_blocks(blocks, &v6, 1);
+    report("blocks", total, "load_set", (cpu_time_s() - start) * 1e3, "ms");
     report("blocks", total, "memory", (double)(heap_bytes() - before) / (double)total, "B/block");
     time_lookups(blocks, &v4, total);
-    report("blocks", total, "longest_pause_of_replacing", load_list(blocks, &v4, 2) * 1e3, "ms");
+    report("blocks", total, "longest_pause_of_replacing", load_blocks(blocks, &v4, 2) * 1e3, "ms");
     blocks_free(blocks);
-    free_list(&v4);
-    free_list(&v6);
+    block_list_free(&v4);
+    block_list_free(&v6);
 }
 
 static char *
@@ -236,27 +236,27 @@
     double demand[TOPOLOGY_REGIONS_MAX];
     for (size_t i = 0; i < TOPOLOGY_REGIONS_MAX; i++)
         demand[i] = 1;
-    double start = now_s();
-    for (size_t i = 0; i < REPEAT; i++) {
-        table_t *again = table_parse(str_from(text), &err);
-        table_free(again);
+    double start = cpu_time_s();
+    for (size_t i = 0; i < REPETITIONS; i++) {
+        table_t *parsed = table_parse(str_from(text), &err);
+        table_free(parsed);
     }
-    report("table", rows, "parse", (now_s() - start) / REPEAT * 1e6, "us");
+    report("table", rows, "parse", (cpu_time_s() - start) / REPETITIONS * 1e6, "us");
     report("table", rows, "stored_form", (double)strlen(text), "B");
-    start = now_s();
+    start = cpu_time_s();
     steer_plan_t *plan = NULL;
-    for (size_t i = 0; i < REPEAT; i++) {
+    for (size_t i = 0; i < REPETITIONS; i++) {
         steer_plan_free(plan);
         ramp_shares(table, 30000, shares);
         plan = steer_plan_new(table, shares, topology, demand);
     }
-    report("plan", rows, "compute", (now_s() - start) / REPEAT * 1e6, "us");
+    report("plan", rows, "compute", (cpu_time_s() - start) / REPETITIONS * 1e6, "us");
     report("plan", rows, "memory", (double)(plan->areas * plan->rows * sizeof(double)), "B");
     uint64_t sum = 0;
-    start = now_s();
-    for (uint64_t i = 0; i < KEYS_ROUND; i++)
+    start = cpu_time_s();
+    for (uint64_t i = 0; i < PICK_COUNT; i++)
         sum += steer_plan_pick(plan, table, i % plan->areas, i * 7919, NULL);
-    report("plan", rows, "pick", (now_s() - start) / KEYS_ROUND * 1e9, "ns");
+    report("plan", rows, "pick", (cpu_time_s() - start) / PICK_COUNT * 1e9, "ns");
     if (sum == 1)
         puts("");
     steer_plan_free(plan);
@@ -286,13 +286,14 @@
     beat.digest = 0x123456789abcdefu;
     uint8_t bytes[512];
     const size_t len = iris__envelope__pack(&message, bytes);
-    const double start = now_s();
-    for (size_t i = 0; i < members * REPEAT; i++) {
+    const double start = cpu_time_s();
+    for (size_t i = 0; i < members * REPETITIONS; i++) {
         iris__envelope__pack(&message, bytes);
-        Iris__Envelope *read = iris__envelope__unpack(NULL, len, bytes);
-        iris__envelope__free_unpacked(read, NULL);
+        Iris__Envelope *decoded = iris__envelope__unpack(NULL, len, bytes);
+        iris__envelope__free_unpacked(decoded, NULL);
     }
-    report("heartbeats", members, "codec_a_round", (now_s() - start) / REPEAT * 1e6, "us");
+    report("heartbeats", members, "codec_a_round", (cpu_time_s() - start) / REPETITIONS * 1e6,
+           "us");
     report("heartbeats", members, "bytes_a_round", (double)((len + 4) * members), "B");
 }
 
@@ -304,24 +305,24 @@
     name_t name;
     name_set(&name, STR("sandusky-hall-entry-17"));
     const size_t before = heap_bytes();
-    const double start = now_s();
+    const double start = cpu_time_s();
     for (size_t i = 0; i < count; i++) {
         char text[KEY_TEXT_MAX];
         key_mint(&name, 1, 1000, &rng, text);
         key_book_add(book, str_from(text), 1, 1000);
     }
-    report("keys", count, "mint_and_add", (now_s() - start) / (double)count * 1e9, "ns");
+    report("keys", count, "mint_and_add", (cpu_time_s() - start) / (double)count * 1e9, "ns");
     report("keys", count, "memory", (double)(heap_bytes() - before) / (double)count, "B/key");
     key_book_free(book);
 }
 
 static void
-write_list(const char *dir, const block_list_t *list)
+write_chunks(const char *dir, const block_list_t *list)
 {
     for (size_t i = 0; i < chunk_count(list); i++) {
         char path[512];
         size_t len;
-        char *bytes = pack(list, 1, i, &len);
+        char *bytes = pack_chunk(list, 1, i, &len);
         snprintf(path, sizeof(path), "%s/v%u-%03zu", dir, list->family, i);
         FILE *out = fopen(path, "we");
         if (out == NULL || fwrite(bytes, 1, len, out) != len)
@@ -335,12 +336,12 @@
 write_blocks(const char *dir, size_t total)
 {
     rng_t rng = {.state = total};
-    block_list_t v6 = make_blocks(6, total / IPV6_PART, &rng);
-    block_list_t v4 = make_blocks(4, total - total / IPV6_PART, &rng);
-    write_list(dir, &v4);
-    write_list(dir, &v6);
-    free_list(&v4);
-    free_list(&v6);
+    block_list_t v6 = make_blocks(6, total / IPV6_DIVISOR, &rng);
+    block_list_t v4 = make_blocks(4, total - total / IPV6_DIVISOR, &rng);
+    write_chunks(dir, &v4);
+    write_chunks(dir, &v6);
+    block_list_free(&v4);
+    block_list_free(&v6);
     return EXIT_SUCCESS;
 }
 
