--- a/bin/bare.c
+++ b/bin/bare.c
@@ -1,4 +1,4 @@
-/* bare: a fixed answer over the same HTTP library, the yardstick for look-ups. */
+/* bare: serves a fixed response with the same HTTP library, as a baseline for lookup benchmarks. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/bin/check.c
+++ b/bin/check.c
@@ -1,4 +1,4 @@
-/* irisstall-check: checks the promises on the histories of a run. */
+/* irisstall-check: checks the system's guarantees on the histories of a run. */
 #include <getopt.h>
 #include <stdio.h>
 #include <stdlib.h>
--- a/bin/entry.c
+++ b/bin/entry.c
@@ -1,4 +1,4 @@
-/* irisstall-entry: answers look-ups and carries requests to backend servers. */
+/* irisstall-entry: answers lookups and forwards requests to backend servers. */
 #include <getopt.h>
 #include <signal.h>
 #include <stdio.h>
@@ -73,7 +73,7 @@
     bool check_only;
 } options_t;
 
-/* True if the program goes on; else `*status` is its exit status. */
+/* Returns false if the program is to exit with `*status`. */
 static bool
 parse_options(int argc, char **argv, options_t *out, int *status)
 {
--- a/bin/gateway.c
+++ b/bin/gateway.c
@@ -1,8 +1,6 @@
 /*
- * irisstall-gateway: an instance on the users' platform.
- *
- * Reads the command line and the settings, joins the gateway with the platform's adapter, and turns
- * signals and changes of the settings file into calls of gateway.h.
+ * irisstall-gateway: parses the command line and settings, connects the gateway to the platform
+ * adapter, and maps signals and changes of the settings file to calls of gateway.h.
  */
 #include <errno.h>
 #include <getopt.h>
@@ -24,7 +22,7 @@
 
 enum {
     EXIT_SETTINGS = 2,
-    SETTINGS_POLL_MS = 2000, /* the file may change without a signal. Chosen, not measured */
+    SETTINGS_POLL_MS = 2000,
 };
 
 static const char *const settings_variable = "IRISSTALL_SETTINGS";
@@ -32,8 +30,8 @@
 typedef struct {
     uv_loop_t *loop;
     const char *path;
-    struct timespec settings_mtime; /* of the settings file, when it was last read */
-    bool unreadable;                /* the settings file could not be looked at */
+    struct timespec settings_mtime; /* as of the last check; 0 before the first */
+    bool unreadable;                /* the last stat() of the settings file failed */
     gateway_t *gateway;
 } process_t;
 
@@ -77,7 +75,7 @@
     reload(handle->data);
 }
 
-/* The file may change without a signal. */
+/* Reloads the settings file when its modification time changes. */
 static void
 on_settings_timer(uv_timer_t *timer)
 {
@@ -138,7 +136,7 @@
     bool check_only;
 } options_t;
 
-/* True if the program goes on; else `*status` is its exit status. */
+/* Returns false if the program is to exit with `*status`. */
 static bool
 parse_options(int argc, char **argv, options_t *out, int *status)
 {
--- a/bin/irisctl.c
+++ b/bin/irisctl.c
@@ -1,4 +1,4 @@
-/* irisctl: the operators' command line. */
+/* irisctl: command line tool for operators. */
 #include <getopt.h>
 #include <signal.h>
 #include <stdio.h>
@@ -79,7 +79,7 @@
     bool json;
 } options_t;
 
-/* True if the program goes on; else `*status` is its exit status. */
+/* Returns false if the program is to exit with `*status`. */
 static bool
 parse_options(int argc, char **argv, options_t *out, int *status)
 {
@@ -125,7 +125,7 @@
     return false;
 }
 
-/* A command that needs the entry's store. */
+/* Runs a command that needs the platform's object store. */
 static int
 run_with_store(const options_t *options, int argc, char **argv)
 {
--- a/bin/load.c
+++ b/bin/load.c
@@ -1,8 +1,8 @@
 /*
- * irisstall-load: open-loop load per request class, as callers make it.
+ * irisstall-load: open-loop load generator with request classes.
  *
- * Latency counts from the intended send time, so a system that stalls cannot hide it. Every
- * request and its outcome go to a history that irisstall-check reads.
+ * Latency is measured from the intended send time to avoid coordinated omission. Requests and their
+ * outcomes are recorded in a history for irisstall-check.
  */
 #include <getopt.h>
 #include <math.h>
@@ -16,7 +16,7 @@
 enum {
     TICK_MS = 1,
     PROGRESS_MS = 1000,
-    DRAIN_TIMEOUT_MS = 30000, /* after the last request was due */
+    DRAIN_TIMEOUT_MS = 30000, /* wait for requests in flight after the end of the run */
     US_PER_S = 1000000,
 };
 
@@ -26,7 +26,7 @@
     bool quiet;
 } state;
 
-/* Time to the next request of a Poisson process. */
+/* Draws the time to the next arrival of a Poisson process. */
 static double
 next_interval_us(double rate)
 {
--- a/bin/slopes.c
+++ b/bin/slopes.c
@@ -1,8 +1,8 @@
 /*
- * slopes: measures in one process how state, time and messages grow with their sizes, for
- * docs/CAPACITY.md. Writes lines "slope, size, metric, value, unit", separated by tabs.
+ * slopes: benchmarks how memory, CPU time and message sizes scale, for docs/CAPACITY.md. Prints
+ * tab-separated lines "slope, size, metric, value, unit".
  *
- * With --write-blocks=DIR it writes N client blocks as stored objects instead.
+ * With --write-blocks=DIR, writes --count client blocks as stored objects instead.
  */
 #include <getopt.h>
 #include <malloc.h>
@@ -29,7 +29,7 @@
     LOOKUP_COUNT = 2000000,
     REGIONS = 26,
     HALLS_PER_REGION = 2,
-    IPV6_DIVISOR = 5, /* one block in five is IPv6 */
+    IPV6_DIVISOR = 5, /* 1 in 5 blocks is IPv6 */
     REPETITIONS = 50,
     PICK_COUNT = 20000,
 };
@@ -62,7 +62,7 @@
     uint8_t *areas;
 } block_list_t;
 
-/* Blocks of random lengths that fill the family's space. */
+/* Generates blocks of random sizes across the family's address space. */
 static block_list_t
 make_blocks(uint32_t family, size_t count, rng_t *rng)
 {
@@ -104,7 +104,7 @@
                              list->starts + from, list->areas + from, n, len);
 }
 
-/* Loads a whole set; returns the longest time one chunk took. */
+/* Loads all chunks of a set; returns the longest time spent on one chunk. */
 static double
 load_blocks(blocks_t *blocks, const block_list_t *list, uint64_t set)
 {
@@ -123,7 +123,7 @@
     return longest;
 }
 
-/* The baseline: a plain binary search over one sorted array. */
+/* Baseline: binary search over a sorted array. */
 static size_t
 plain_search(const uint32_t *starts, size_t n, uint32_t key)
 {
