--- a/bin/gateway.c
+++ b/bin/gateway.c
@@ -61,7 +61,7 @@
     static gateway_settings_t settings;
     err_t err = {0};
     if (!gateway_settings_load(process->path, &settings, &err)) {
-        LOG_ERR("settings not taken over: err=%s detail=%s", err_name(err.code), err.detail);
+        LOG_ERR("settings rejected: err=%s detail=%s", err_name(err.code), err.detail);
         return;
     }
     gateway_reload(process->gateway, &settings);
--- a/load/config.c
+++ b/load/config.c
@@ -90,14 +90,13 @@
         !name_set(&out->service, str_from(raw->service)) ||
         !name_set(&out->method, str_from(raw->method)) || raw->path[0] != '/' ||
         strlen(raw->path) >= sizeof(out->path)) {
-        err_set(err, ERR_INVALID, "class %s: name, service, method or path is not valid",
-                raw->name);
+        err_set(err, ERR_INVALID, "class %s: invalid name, service, method or path", raw->name);
         return false;
     }
     memcpy(out->path, raw->path, strlen(raw->path) + 1);
     if (raw->rate < 0 || raw->timeout_ms == 0 || !read_keys(raw->keys, &out->keys)) {
         err_set(err, ERR_INVALID,
-                "class %s: rate is 0 or more, timeout_ms above 0, keys none, minted or own",
+                "class %s: rate must be at least 0, timeout_ms above 0, keys none, minted or own",
                 raw->name);
         return false;
     }
@@ -112,7 +111,7 @@
     config->entry_count = raw->entries_count;
     config->class_count = raw->classes_count;
     if (raw->clients == 0 || raw->concurrency == 0) {
-        err_set(err, ERR_INVALID, "clients and concurrency are above 0");
+        err_set(err, ERR_INVALID, "clients and concurrency must be above 0");
         return false;
     }
     for (unsigned i = 0; i < raw->entries_count; i++) {
