--- a/bin/check.c
+++ b/bin/check.c
@@ -1,4 +1,4 @@
-/* irisstall-check: checks the promises on the histories of a run. */
+/* irisstall-check: checks the system's guarantees on the histories of a run. */
 #include <getopt.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,13 +16,16 @@
 static void
 print_verdict(const verdict_t *verdict)
 {
-    const char *word = verdict->violations > 0 ? "BROKEN" : verdict->examined > 0 ? "held" : "-";
-    printf("%-7s %9zu %7zu  %s", word, verdict->examined, verdict->violations, verdict->promise);
+    const char *status_text = verdict->violations > 0 ? "BROKEN"
+                              : verdict->examined > 0 ? "held"
+                                                      : "-";
+    printf("%-7s %9zu %7zu  %s", status_text, verdict->examined, verdict->violations,
+           verdict->guarantee);
     if (verdict->note[0] != '\0')
         printf(" (%s)", verdict->note);
     putchar('\n');
     if (verdict->violations > 0)
-        printf("        first: %s\n", verdict->first);
+        printf("        first: %s\n", verdict->first_violation);
     if (verdict->examined == 0)
         printf("        nothing examined: this run proves nothing about it\n");
 }
@@ -49,7 +52,7 @@
            events.bad_lines, "", "examined", "broken");
     int status = EXIT_SUCCESS;
     for (size_t i = 0; i < ALEN(rules); i++) {
-        verdict_t verdict = {.promise = ""};
+        verdict_t verdict = {.guarantee = ""};
         rules[i](&events, &verdict);
         print_verdict(&verdict);
         if (verdict.violations > 0)
--- a/ctl/table_file.c
+++ b/ctl/table_file.c
@@ -6,9 +6,9 @@
 #include "base/xmalloc.h"
 #include "ctl/table_file.h"
 
-enum { LINE_MAX_LEN = 512, COLUMNS_IN_FILE = 6 };
+enum { LINE_MAX_LEN = 512, FILE_COLUMN_COUNT = 6 };
 
-/* Before a row as the operator saw it, so that an import can tell others' changes from its own. */
+/* Marks a row as exported, so that an import can detect concurrent changes. */
 static const char seen_prefix[] = "#seen,";
 
 static void
@@ -33,9 +33,9 @@
         print_row(seen_prefix, &table->rows[i]);
 }
 
-/* A row of an exported file: the place and a text for each column. */
+/* A row of an exported file: the place and the text of each column. */
 typedef struct {
-    char cell[COLUMNS_IN_FILE][EDIT_VALUE_MAX];
+    char cell[FILE_COLUMN_COUNT][EDIT_VALUE_MAX];
 } file_row_t;
 
 static bool
@@ -48,13 +48,13 @@
         if (*at == ',') {
             column++;
             len = 0;
-        } else if (column < COLUMNS_IN_FILE && len < EDIT_VALUE_MAX - 1) {
+        } else if (column < FILE_COLUMN_COUNT && len < EDIT_VALUE_MAX - 1) {
             row->cell[column][len++] = *at;
         } else {
             return false;
         }
     }
-    return column == COLUMNS_IN_FILE - 1;
+    return column == FILE_COLUMN_COUNT - 1;
 }
 
 typedef struct {
@@ -63,8 +63,8 @@
 } file_rows_t;
 
 struct table_file {
-    file_rows_t wanted; /* as the operator left the rows */
-    file_rows_t seen;   /* as they were when the file was written */
+    file_rows_t wanted; /* rows as edited by the operator */
+    file_rows_t seen;   /* rows as exported */
 };
 
 static void
@@ -110,7 +110,7 @@
     return NULL;
 }
 
-/* Adds the cells of `wanted` that differ from what was seen. */
+/* Adds the cells of `wanted` that differ from the exported row. */
 static bool
 add_changes(edit_t *edit, const table_t *table, const file_row_t *wanted, const file_row_t *seen,
             err_t *err)
