--- a/gateway/router.h
+++ b/gateway/router.h
@@ -67,7 +67,8 @@
     double prior_wait_ms; /* time already spent on refused requests, from router_record_caller() */
     uint64_t version;     /* use only backends of this software version; 0 for any */
     bool suspected;       /* a backend server crashed while running it */
-    bool may_request_permit; /* a backend that needs a permit may be chosen (policy/backend_skip.h) */
+    bool may_request_permit; /* a backend that needs a permit may be chosen (policy/backend_skip.h)
+                              */
     backend_t *const *tried;
     size_t tried_count;
 } router_request_t;
