--- a/gateway/membership/permit_exchange.c
+++ b/gateway/membership/permit_exchange.c
@@ -117,8 +117,8 @@
     if (!notice->limit.is_set)
         return true;
     const permit_rate_t rate = compute_rate(exchange, notice->limit.per_s);
-    const uint64_t life = backend_incarnation_hash(name_str(&notice->backend), notice->born);
-    return permits_take(&exchange->permits, life, rate, current_ms(exchange), wait_ms);
+    const uint64_t incarnation = backend_incarnation_hash(name_str(&notice->backend), notice->born);
+    return permits_take(&exchange->permits, incarnation, rate, current_ms(exchange), wait_ms);
 }
 
 /* Returns the stored notice for the backend, or `notice` if there is none. */
--- a/gateway/membership/suspect_gossip.c
+++ b/gateway/membership/suspect_gossip.c
@@ -89,7 +89,7 @@
 static bool
 is_for_all(const suspect_t *suspect)
 {
-    return suspect->sent_to_all || !quarantine_may_resend(suspect_lives(suspect));
+    return suspect->sent_to_all || !quarantine_may_resend(suspect_incarnations(suspect));
 }
 
 static bool
@@ -166,12 +166,12 @@
     suspect_t received;
     suspect_message_read(message, &received, now_ms);
     const suspect_t *known = suspects_find(gossip->conf.suspects, received.fingerprint);
-    const unsigned before = known != NULL ? suspect_lives(known) : 0;
+    const unsigned before = known != NULL ? suspect_incarnations(known) : 0;
     suspects_merge(gossip->conf.suspects, &received, now_ms);
     known = suspects_find(gossip->conf.suspects, received.fingerprint);
-    const unsigned lives = known != NULL ? suspect_lives(known) : 0;
-    return !is_full_mesh(gossip) && lives > before && !quarantine_may_resend(lives) &&
-           quarantine_may_resend(suspect_lives(&received));
+    const unsigned incarnations = known != NULL ? suspect_incarnations(known) : 0;
+    return !is_full_mesh(gossip) && incarnations > before && !quarantine_may_resend(incarnations) &&
+           quarantine_may_resend(suspect_incarnations(&received));
 }
 
 void
--- a/gateway/membership/suspect_message.c
+++ b/gateway/membership/suspect_message.c
@@ -12,7 +12,7 @@
         if (!suspect->ends[i].confirmed)
             continue;
         iris__suspect_end__init(&out->ends[count]);
-        out->ends[count].life = suspect->ends[i].life;
+        out->ends[count].life = suspect->ends[i].incarnation;
         out->ends[count].under = suspect->ends[i].member;
         out->ends[count].version = suspect->ends[i].version;
         out->ends[count].age_ms = message_age_ms(suspect->ends[i].at_ms, now_ms);
@@ -40,7 +40,7 @@
     *out = (suspect_t){.fingerprint = message->request, .is_family = message->is_family};
     for (size_t i = 0; i < message->n_ends && out->end_count < SUSPECT_ENDS_MAX; i++)
         out->ends[out->end_count++] = (suspect_end_t){
-            .life = message->ends[i]->life,
+            .incarnation = message->ends[i]->life,
             .member = message->ends[i]->under,
             .version = message->ends[i]->version,
             .at_ms = message_time_ms(message->ends[i]->age_ms, now_ms),
--- a/gateway/path/end_check.c
+++ b/gateway/path/end_check.c
@@ -49,7 +49,7 @@
 {
     check_t *check = ctx;
     backend_t *backend = check->backend;
-    const uint64_t life = backend_incarnation_key(backend);
+    const uint64_t incarnation = backend_incarnation_key(backend);
     if (outcome == TCP_PROBE_CONNECTED && !check->is_second_probe) {
         check->is_second_probe = true;
         probe(check, SECOND_PROBE_DELAY_MS);
@@ -57,11 +57,12 @@
     }
     backend->end_check_running = false;
     if (outcome == TCP_PROBE_REFUSED) {
-        const size_t requests = suspects_confirm(check->suspects, life, loop_now(check->loop));
+        const size_t requests =
+            suspects_confirm(check->suspects, incarnation, loop_now(check->loop));
         count_outcome("outcome=\"ended\"");
         LOG_INFO("backend process ended: id=%s requests=%zu", backend->info.id.ptr, requests);
     } else {
-        suspects_retract(check->suspects, life);
+        suspects_retract(check->suspects, incarnation);
         count_outcome(outcome == TCP_PROBE_CONNECTED ? "outcome=\"lives\"" : "outcome=\"unknown\"");
     }
     backend_unref(backend);
--- a/gateway/state/permits.c
+++ b/gateway/state/permits.c
@@ -12,10 +12,10 @@
 };
 
 static permit_bucket_t *
-get_bucket(permits_t *permits, uint64_t life, permit_rate_t rate, uint64_t now_ms)
+get_bucket(permits_t *permits, uint64_t incarnation, permit_rate_t rate, uint64_t now_ms)
 {
     for (size_t i = 0; i < permits->count; i++) {
-        if (permits->items[i].incarnation == life)
+        if (permits->items[i].incarnation == incarnation)
             return &permits->items[i];
     }
     if (permits->count == permits->size) {
@@ -23,17 +23,17 @@
         permits->items = xrealloc(permits->items, permits->size * sizeof(*permits->items));
     }
     permit_bucket_t *item = &permits->items[permits->count++];
-    item->incarnation = life;
+    item->incarnation = incarnation;
     bucket_init(&item->tokens, rate.per_s, rate.burst, now_ms);
     bucket_charge(&item->tokens, rate.burst, now_ms);
     return item;
 }
 
 bool
-permits_take(permits_t *permits, uint64_t life, permit_rate_t rate, uint64_t now_ms,
+permits_take(permits_t *permits, uint64_t incarnation, permit_rate_t rate, uint64_t now_ms,
              uint32_t *wait_ms)
 {
-    permit_bucket_t *item = get_bucket(permits, life, rate, now_ms);
+    permit_bucket_t *item = get_bucket(permits, incarnation, rate, now_ms);
     item->last_request_ms = now_ms;
     bucket_set_rate(&item->tokens, rate.per_s, rate.burst, now_ms);
     if (bucket_take(&item->tokens, 1, now_ms))
--- a/gateway/state/permits.h
+++ b/gateway/state/permits.h
@@ -24,7 +24,7 @@
 } permits_t;
 
 /* True if a permit is granted; otherwise `wait_ms` is the time until the next one. */
-bool permits_take(permits_t *permits, uint64_t life, permit_rate_t rate, uint64_t now_ms,
+bool permits_take(permits_t *permits, uint64_t incarnation, permit_rate_t rate, uint64_t now_ms,
                   uint32_t *wait_ms);
 /* Periodic work: removes unused buckets. */
 void permits_expire(permits_t *permits, uint64_t now_ms);
--- a/gateway/state/suspect.c
+++ b/gateway/state/suspect.c
@@ -14,33 +14,33 @@
 }
 
 bool
-suspect_is_repeated_life(const suspect_t *suspect, size_t index)
+suspect_is_repeated_incarnation(const suspect_t *suspect, size_t index)
 {
     for (size_t i = 0; i < index; i++) {
-        if (suspect->ends[i].life == suspect->ends[index].life)
+        if (suspect->ends[i].incarnation == suspect->ends[index].incarnation)
             return true;
     }
     return false;
 }
 
 static unsigned
-count_lives(const suspect_t *suspect, bool confirmed_only)
+count_incarnations(const suspect_t *suspect, bool confirmed_only)
 {
     unsigned count = 0;
     for (size_t i = 0; i < suspect->end_count; i++)
         count += (suspect->ends[i].confirmed || !confirmed_only) &&
-                 !suspect_is_repeated_life(suspect, i);
+                 !suspect_is_repeated_incarnation(suspect, i);
     return count;
 }
 
 unsigned
-suspect_lives(const suspect_t *suspect)
+suspect_incarnations(const suspect_t *suspect)
 {
-    return count_lives(suspect, false);
+    return count_incarnations(suspect, false);
 }
 
 static unsigned
-member_lives(const suspect_t *family, uint64_t member)
+member_incarnations(const suspect_t *family, uint64_t member)
 {
     unsigned count = 0;
     for (size_t i = 0; i < family->end_count; i++)
@@ -51,25 +51,25 @@
 unsigned
 suspect_ends(const suspect_t *suspect)
 {
-    const unsigned lives = suspect_lives(suspect);
+    const unsigned incarnations = suspect_incarnations(suspect);
     for (size_t i = 0; suspect->is_family && i < suspect->end_count; i++) {
-        if (member_lives(suspect, suspect->ends[i].member) == lives)
+        if (member_incarnations(suspect, suspect->ends[i].member) == incarnations)
             return 0;
     }
-    return lives;
+    return incarnations;
 }
 
 unsigned
 suspect_confirmed_ends(const suspect_t *suspect)
 {
-    return suspect_ends(suspect) > 0 ? count_lives(suspect, true) : 0;
+    return suspect_ends(suspect) > 0 ? count_incarnations(suspect, true) : 0;
 }
 
 static bool
-has_life(const suspect_t *suspect, uint64_t life)
+has_incarnation(const suspect_t *suspect, uint64_t incarnation)
 {
     for (size_t i = 0; i < suspect->end_count; i++) {
-        if (suspect->ends[i].life == life)
+        if (suspect->ends[i].incarnation == incarnation)
             return true;
     }
     return false;
@@ -90,7 +90,7 @@
 has_unshared_end(const suspect_t *suspect, const suspect_t *other)
 {
     for (size_t i = 0; i < suspect->end_count; i++) {
-        if (!has_life(other, suspect->ends[i].life))
+        if (!has_incarnation(other, suspect->ends[i].incarnation))
             return true;
     }
     return false;
@@ -100,14 +100,15 @@
 static bool
 is_family_with_member(const suspect_t *a, const suspect_t *b)
 {
-    return (a->is_family && member_lives(a, b->fingerprint) > 0) ||
-           (b->is_family && member_lives(b, a->fingerprint) > 0);
+    return (a->is_family && member_incarnations(a, b->fingerprint) > 0) ||
+           (b->is_family && member_incarnations(b, a->fingerprint) > 0);
 }
 
 bool
-suspect_is_explained_by(const suspect_t *suspect, const suspect_t *other, uint64_t life)
+suspect_is_explained_by(const suspect_t *suspect, const suspect_t *other, uint64_t incarnation)
 {
-    if (other == suspect || !has_life(other, life) || is_family_with_member(suspect, other))
+    if (other == suspect || !has_incarnation(other, incarnation) ||
+        is_family_with_member(suspect, other))
         return false;
     const unsigned ends = suspect_ends(suspect);
     const unsigned others = suspect_ends(other);
@@ -130,10 +131,10 @@
 }
 
 static suspect_end_t *
-find_end(suspect_t *suspect, uint64_t life, uint64_t member)
+find_end(suspect_t *suspect, uint64_t incarnation, uint64_t member)
 {
     for (size_t i = 0; i < suspect->end_count; i++) {
-        if (suspect->ends[i].life == life && suspect->ends[i].member == member)
+        if (suspect->ends[i].incarnation == incarnation && suspect->ends[i].member == member)
             return &suspect->ends[i];
     }
     return NULL;
@@ -142,7 +143,8 @@
 void
 suspect_add_end(suspect_t *suspect, const suspect_end_t *end)
 {
-    if (end->at_ms <= suspect->cleared_ms || find_end(suspect, end->life, end->member) != NULL)
+    if (end->at_ms <= suspect->cleared_ms ||
+        find_end(suspect, end->incarnation, end->member) != NULL)
         return;
     if (suspect->good_version != 0 && end->version == suspect->good_version) {
         if (end->at_ms <= suspect->good_ms)
@@ -162,12 +164,12 @@
 }
 
 bool
-suspect_confirm(suspect_t *suspect, uint64_t life)
+suspect_confirm(suspect_t *suspect, uint64_t incarnation)
 {
     bool changed = false;
     for (size_t i = 0; i < suspect->end_count; i++) {
         suspect_end_t *end = &suspect->ends[i];
-        if (end->life != life)
+        if (end->incarnation != incarnation)
             continue;
         changed |= !end->confirmed;
         end->confirmed = true;
@@ -176,10 +178,10 @@
 }
 
 void
-suspect_retract(suspect_t *suspect, uint64_t life)
+suspect_retract(suspect_t *suspect, uint64_t incarnation)
 {
     for (size_t i = suspect->end_count; i-- > 0;) {
-        if (suspect->ends[i].life == life && !suspect->ends[i].confirmed)
+        if (suspect->ends[i].incarnation == incarnation && !suspect->ends[i].confirmed)
             suspect->ends[i] = suspect->ends[--suspect->end_count];
     }
 }
@@ -244,7 +246,8 @@
         drop_good_version_ends(suspect);
     }
     for (size_t i = 0; i < theirs->end_count; i++) {
-        suspect_end_t *known = find_end(suspect, theirs->ends[i].life, theirs->ends[i].member);
+        suspect_end_t *known =
+            find_end(suspect, theirs->ends[i].incarnation, theirs->ends[i].member);
         if (known != NULL)
             known->confirmed |= theirs->ends[i].confirmed;
         else
--- a/gateway/state/suspect.h
+++ b/gateway/state/suspect.h
@@ -28,12 +28,12 @@
 } fingerprint_t;
 
 typedef struct {
-    uint64_t
-        life; /* identifies the process of the backend server, from backend_incarnation_key() */
-    uint64_t version; /* software version; 0 if unknown, which matches any */
-    uint64_t member;  /* in a family: fingerprint of the request involved; else 0 */
-    uint64_t at_ms;   /* loop time */
-    bool confirmed;   /* the termination is verified; otherwise the check is pending */
+    uint64_t incarnation; /* identifies the process of the backend server, from
+                             backend_incarnation_key() */
+    uint64_t version;     /* software version; 0 if unknown, which matches any */
+    uint64_t member;      /* in a family: fingerprint of the request involved; else 0 */
+    uint64_t at_ms;       /* loop time */
+    bool confirmed;       /* the termination is verified; otherwise the check is pending */
 } suspect_end_t;
 
 typedef struct {
@@ -59,9 +59,9 @@
 /* Adds an end unless it is known or cleared. Replaces the oldest one if the suspect is full. */
 void suspect_add_end(suspect_t *suspect, const suspect_end_t *end);
 /* Marks the ends of that life as confirmed; true if any was not. */
-bool suspect_confirm(suspect_t *suspect, uint64_t life);
+bool suspect_confirm(suspect_t *suspect, uint64_t incarnation);
 /* Removes the unconfirmed ends of that life. */
-void suspect_retract(suspect_t *suspect, uint64_t life);
+void suspect_retract(suspect_t *suspect, uint64_t incarnation);
 /* Discards all ends up to `at_ms`. */
 void suspect_clear(suspect_t *suspect, cleared_t why, uint64_t at_ms);
 /* Records a completed run on a software version: its earlier ends are discarded, those of other
@@ -74,7 +74,7 @@
  * involved in all of them. */
 unsigned suspect_ends(const suspect_t *suspect);
 /* Counts the distinct lives that ended, without the exception for families. */
-unsigned suspect_lives(const suspect_t *suspect);
+unsigned suspect_incarnations(const suspect_t *suspect);
 /* Like suspect_ends(), but counts confirmed ends only. */
 unsigned suspect_confirmed_ends(const suspect_t *suspect);
 /* True if a backend server of that software version, or of an unknown one, has or may have
@@ -83,6 +83,7 @@
 /* Time of the last end, or of the last clearing if there are none. */
 uint64_t suspect_last_ms(const suspect_t *suspect);
 /* True if the other suspect explains the end of that life better. */
-bool suspect_is_explained_by(const suspect_t *suspect, const suspect_t *other, uint64_t life);
+bool suspect_is_explained_by(const suspect_t *suspect, const suspect_t *other,
+                             uint64_t incarnation);
 /* True if an earlier entry than the one at `index` has the same life. */
-bool suspect_is_repeated_life(const suspect_t *suspect, size_t index);
+bool suspect_is_repeated_incarnation(const suspect_t *suspect, size_t index);
--- a/gateway/state/suspects.c
+++ b/gateway/state/suspects.c
@@ -106,10 +106,10 @@
 /* ---- decisions ---- */
 
 static bool
-is_explained(const suspects_t *suspects, const suspect_t *suspect, uint64_t life)
+is_explained(const suspects_t *suspects, const suspect_t *suspect, uint64_t incarnation)
 {
     for (size_t i = 0; i < suspects->count; i++) {
-        if (suspect_is_explained_by(suspect, suspects->items[i], life))
+        if (suspect_is_explained_by(suspect, suspects->items[i], incarnation))
             return true;
     }
     return false;
@@ -120,8 +120,8 @@
 {
     unsigned count = 0;
     for (size_t i = 0; i < suspect->end_count; i++)
-        count += !suspect_is_repeated_life(suspect, i) &&
-                 !is_explained(suspects, suspect, suspect->ends[i].life);
+        count += !suspect_is_repeated_incarnation(suspect, i) &&
+                 !is_explained(suspects, suspect, suspect->ends[i].incarnation);
     return count;
 }
 
@@ -248,22 +248,22 @@
 }
 
 void
-suspects_add_end(suspects_t *suspects, const fingerprint_t *fingerprint, str_t text, uint64_t life,
-                 uint64_t version, uint64_t now_ms)
+suspects_add_end(suspects_t *suspects, const fingerprint_t *fingerprint, str_t text,
+                 uint64_t incarnation, uint64_t version, uint64_t now_ms)
 {
-    suspect_end_t end = {.life = life, .version = version, .at_ms = now_ms};
+    suspect_end_t end = {.incarnation = incarnation, .version = version, .at_ms = now_ms};
     add_end(suspects, fingerprint->request, false, text, &end);
     end.member = fingerprint->request;
     add_end(suspects, fingerprint->family, true, text, &end);
 }
 
 size_t
-suspects_confirm(suspects_t *suspects, uint64_t life, uint64_t now_ms)
+suspects_confirm(suspects_t *suspects, uint64_t incarnation, uint64_t now_ms)
 {
     size_t count = 0;
     for (size_t i = 0; i < suspects->count; i++) {
         suspect_t *suspect = suspects->items[i];
-        if (!suspect_confirm(suspect, life))
+        if (!suspect_confirm(suspect, incarnation))
             continue;
         suspect->unsent = true;
         log_verdict(suspects, suspect, now_ms);
@@ -275,11 +275,11 @@
 }
 
 void
-suspects_retract(suspects_t *suspects, uint64_t life)
+suspects_retract(suspects_t *suspects, uint64_t incarnation)
 {
     for (size_t i = suspects->count; i-- > 0;) {
         suspect_t *suspect = suspects->items[i];
-        suspect_retract(suspect, life);
+        suspect_retract(suspect, incarnation);
         if (suspect->end_count == 0 && suspect->cleared == CLEARED_NOT)
             remove_at(suspects, i);
     }
@@ -377,7 +377,7 @@
     if (had_ends && suspect->end_count == 0)
         suspect_log_cleared(suspect, ends, since_end_ms);
     suspect->sent = true;
-    suspect->sent_to_all |= !quarantine_may_resend(suspect_lives(theirs));
+    suspect->sent_to_all |= !quarantine_may_resend(suspect_incarnations(theirs));
     log_verdict(suspects, suspect, now_ms);
 }
 
--- a/gateway/state/suspects.h
+++ b/gateway/state/suspects.h
@@ -62,11 +62,11 @@
 /* Records that the connection of a run broke: the backend server of that life and software version
  * may have terminated. */
 void suspects_add_end(suspects_t *suspects, const fingerprint_t *fingerprint, str_t text,
-                      uint64_t life, uint64_t version, uint64_t now_ms);
+                      uint64_t incarnation, uint64_t version, uint64_t now_ms);
 /* Confirms the ends of that life. Returns the number of requests affected. */
-size_t suspects_confirm(suspects_t *suspects, uint64_t life, uint64_t now_ms);
+size_t suspects_confirm(suspects_t *suspects, uint64_t incarnation, uint64_t now_ms);
 /* Retracts the unconfirmed ends of that life: the backend server is alive. */
-void suspects_retract(suspects_t *suspects, uint64_t life);
+void suspects_retract(suspects_t *suspects, uint64_t incarnation);
 /* Records a completed run of the request on that software version. */
 void suspects_add_finished_run(suspects_t *suspects, const fingerprint_t *fingerprint,
                                uint64_t version, uint64_t now_ms);
--- a/test/gateway/site.c
+++ b/test/gateway/site.c
@@ -55,7 +55,7 @@
     backend->standin = standin_backend_start(&site->loop, &addr, on_backend_request, backend);
     standin_store_remove(site->store, "servers", backend->id);
     snprintf(backend->id, sizeof(backend->id), "i-%d-%u", (int)(backend - site->backends),
-             ++backend->life);
+             ++backend->restarts);
     put_backend(site, backend, "ready");
 }
 
--- a/test/gateway/site.h
+++ b/test/gateway/site.h
@@ -52,7 +52,7 @@
     uint64_t arrivals[ARRIVALS_MAX]; /* loop times of its first requests */
     size_t arrival_count;
     uv_timer_t restart;
-    unsigned life; /* number of restarts; each process has its own id */
+    unsigned restarts; /* number of restarts; each process has its own id */
     size_t runs;
     bool wrong_instance; /* received a request that expects another instance */
     uint64_t last_deadline;
--- a/test/gateway/test_suspects.c
+++ b/test/gateway/test_suspects.c
@@ -26,17 +26,17 @@
 }
 
 static void
-add_confirmed_end_of(suspects_t *suspects, fingerprint_t fingerprint, uint64_t life,
+add_confirmed_end_of(suspects_t *suspects, fingerprint_t fingerprint, uint64_t incarnation,
                      uint64_t now_ms)
 {
-    suspects_add_end(suspects, &fingerprint, text, life, VERSION, now_ms);
-    suspects_confirm(suspects, life, now_ms);
+    suspects_add_end(suspects, &fingerprint, text, incarnation, VERSION, now_ms);
+    suspects_confirm(suspects, incarnation, now_ms);
 }
 
 static void
-add_confirmed_end(suspects_t *suspects, uint64_t request, uint64_t life, uint64_t now_ms)
+add_confirmed_end(suspects_t *suspects, uint64_t request, uint64_t incarnation, uint64_t now_ms)
 {
-    add_confirmed_end_of(suspects, single_member_family(request), life, now_ms);
+    add_confirmed_end_of(suspects, single_member_family(request), incarnation, now_ms);
 }
 
 static quarantine_t
@@ -156,10 +156,10 @@
 {
     /* It shares every end, and completes a run between two of them. */
     suspects_t suspects = {0};
-    for (uint64_t life = 1; life <= 20; life++) {
-        const uint64_t now_ms = START_MS + life * RUN_MS;
-        add_confirmed_end(&suspects, REQUEST, life, now_ms);
-        add_confirmed_end(&suspects, BYSTANDER, life, now_ms);
+    for (uint64_t incarnation = 1; incarnation <= 20; incarnation++) {
+        const uint64_t now_ms = START_MS + incarnation * RUN_MS;
+        add_confirmed_end(&suspects, REQUEST, incarnation, now_ms);
+        add_confirmed_end(&suspects, BYSTANDER, incarnation, now_ms);
         ck_assert_int_eq(verdict_at(&suspects, BYSTANDER, now_ms), QUARANTINE_FREE);
         finish_run(&suspects, BYSTANDER, now_ms + 1);
     }
@@ -249,9 +249,9 @@
 START_TEST(requests_with_identical_ends_are_both_quarantined)
 {
     suspects_t suspects = {0};
-    for (uint64_t life = 1; life <= 2; life++) {
-        add_confirmed_end(&suspects, REQUEST, life, START_MS);
-        add_confirmed_end(&suspects, BYSTANDER, life, START_MS);
+    for (uint64_t incarnation = 1; incarnation <= 2; incarnation++) {
+        add_confirmed_end(&suspects, REQUEST, incarnation, START_MS);
+        add_confirmed_end(&suspects, BYSTANDER, incarnation, START_MS);
     }
     ck_assert_int_eq(verdict_at(&suspects, REQUEST, START_MS), QUARANTINE_HELD);
     ck_assert_int_eq(verdict_at(&suspects, BYSTANDER, START_MS), QUARANTINE_HELD);
@@ -294,16 +294,17 @@
 START_TEST(quarantine_survives_replacement_of_all_instances)
 {
     /* Each instance is killed after the next has started: the last ones saw no end themselves. */
-    enum { LIVES = 4 };
-    suspects_t lives[LIVES] = {0};
-    add_confirmed_end(&lives[0], REQUEST, 1, START_MS);
-    add_confirmed_end(&lives[0], REQUEST, 2, START_MS);
-    for (size_t i = 1; i < LIVES; i++) {
-        send_evidence(&lives[i - 1], &lives[i], START_MS + i);
-        suspects_free(&lives[i - 1]);
+    enum { INSTANCES = 4 };
+    suspects_t instances[INSTANCES] = {0};
+    add_confirmed_end(&instances[0], REQUEST, 1, START_MS);
+    add_confirmed_end(&instances[0], REQUEST, 2, START_MS);
+    for (size_t i = 1; i < INSTANCES; i++) {
+        send_evidence(&instances[i - 1], &instances[i], START_MS + i);
+        suspects_free(&instances[i - 1]);
     }
-    ck_assert_int_eq(verdict_at(&lives[LIVES - 1], REQUEST, START_MS + LIVES), QUARANTINE_HELD);
-    suspects_free(&lives[LIVES - 1]);
+    ck_assert_int_eq(verdict_at(&instances[INSTANCES - 1], REQUEST, START_MS + INSTANCES),
+                     QUARANTINE_HELD);
+    suspects_free(&instances[INSTANCES - 1]);
 }
 END_TEST
 
@@ -311,8 +312,8 @@
 {
     suspects_t suspects = {0};
     const fingerprint_t fingerprint = single_member_family(REQUEST);
-    for (uint64_t life = 1; life <= 3; life++)
-        add_confirmed_end(&suspects, REQUEST, life, START_MS);
+    for (uint64_t incarnation = 1; incarnation <= 3; incarnation++)
+        add_confirmed_end(&suspects, REQUEST, incarnation, START_MS);
     ck_assert_int_eq(suspects_decide_version(&suspects, &fingerprint, VERSION, START_MS).verdict,
                      QUARANTINE_HELD);
     ck_assert_int_eq(
@@ -372,16 +373,16 @@
 {
     enum { EVERY_MS = 333 };
     suspects_t suspects = {0};
-    uint64_t life = 0;
+    uint64_t incarnation = 0;
     for (uint64_t at_ms = START_MS; at_ms < START_MS + ms; at_ms += EVERY_MS) {
         if (verdict_at(&suspects, REQUEST, at_ms) == QUARANTINE_HELD)
             continue;
         do {
-            add_confirmed_end(&suspects, REQUEST, ++life, at_ms);
+            add_confirmed_end(&suspects, REQUEST, ++incarnation, at_ms);
         } while (quarantine_may_resend(count_ends(&suspects, REQUEST)));
     }
     suspects_free(&suspects);
-    return (unsigned)life;
+    return (unsigned)incarnation;
 }
 
 START_TEST(persistent_caller_ends_few_backends)
@@ -434,8 +435,8 @@
 START_TEST(excess_ends_keep_the_maximum_term)
 {
     suspects_t suspects = {0};
-    for (uint64_t life = 1; life <= 3 * SUSPECT_ENDS_MAX; life++)
-        add_confirmed_end(&suspects, REQUEST, life, START_MS + life);
+    for (uint64_t incarnation = 1; incarnation <= 3 * SUSPECT_ENDS_MAX; incarnation++)
+        add_confirmed_end(&suspects, REQUEST, incarnation, START_MS + incarnation);
     ck_assert_uint_eq(count_ends(&suspects, REQUEST), SUSPECT_ENDS_MAX);
     ck_assert_uint_eq(decide(&suspects, REQUEST, START_MS + 3 * SUSPECT_ENDS_MAX).held_ms,
                       quarantine_term_ms(SUSPECT_ENDS_MAX));
--- a/test/gateway/test_suspension.c
+++ b/test/gateway/test_suspension.c
@@ -242,9 +242,9 @@
     uv_loop_init(&loop);
     suspects_t suspects = {0};
     const fingerprint_t fingerprint = {1, 2};
-    for (uint64_t life = 1; life <= 2; life++) {
-        suspects_add_end(&suspects, &fingerprint, STR("x"), life, 0, loop_now(&loop));
-        suspects_confirm(&suspects, life, loop_now(&loop));
+    for (uint64_t incarnation = 1; incarnation <= 2; incarnation++) {
+        suspects_add_end(&suspects, &fingerprint, STR("x"), incarnation, 0, loop_now(&loop));
+        suspects_confirm(&suspects, incarnation, loop_now(&loop));
     }
     ck_assert_int_eq(suspects_decide(&suspects, &fingerprint, loop_now(&loop)).verdict,
                      QUARANTINE_HELD);
