--- a/gateway/path/exchange.c
+++ b/gateway/path/exchange.c
@@ -92,7 +92,7 @@
         may_have_account ? config_account_of_key(config, ex->metadata.key) : NULL;
     const key_input_t input = {
         .has_accounts = config->has_accounts,
-        .open_to_all = ex->route->allows_anonymous,
+        .allows_anonymous = ex->route->allows_anonymous,
         .form = ex->metadata.key_form,
         .key = ex->metadata.key,
         .is_known = account != NULL,
--- a/gateway/policy/key_check.c
+++ b/gateway/policy/key_check.c
@@ -17,7 +17,7 @@
         return KEY_NOT_NEEDED;
     if (input->form == KEY_SINGLE && input->is_known)
         return KEY_KNOWN;
-    if (input->open_to_all)
+    if (input->allows_anonymous)
         return KEY_NOT_NEEDED;
     return input->newer_known ? KEY_CONFIGURATION_STALE : denial_verdict(input);
 }
--- a/gateway/policy/key_check.h
+++ b/gateway/policy/key_check.h
@@ -27,8 +27,8 @@
 } key_verdict_t;
 
 typedef struct {
-    bool has_accounts; /* the configuration has client accounts */
-    bool open_to_all;  /* the route needs no key */
+    bool has_accounts;     /* the configuration has client accounts */
+    bool allows_anonymous; /* the route needs no key */
     key_presence_t form;
     str_t key;
     bool is_known;    /* an account has the key */
--- a/test/gateway/test_accounts.c
+++ b/test/gateway/test_accounts.c
@@ -321,8 +321,8 @@
         key_verdict_t verdict;
     } rows[] = {
         {{.has_accounts = false, .form = KEY_MULTIPLE}, KEY_NOT_NEEDED},
-        {{.has_accounts = true, .open_to_all = true}, KEY_NOT_NEEDED},
-        {{.has_accounts = true, .open_to_all = true, .form = KEY_SINGLE, .is_known = true},
+        {{.has_accounts = true, .allows_anonymous = true}, KEY_NOT_NEEDED},
+        {{.has_accounts = true, .allows_anonymous = true, .form = KEY_SINGLE, .is_known = true},
          KEY_KNOWN},
         {{.has_accounts = true, .form = KEY_NONE}, KEY_ABSENT},
         {{.has_accounts = true, .form = KEY_NONE, .newer_known = true}, KEY_CONFIGURATION_STALE},
