--- a/gateway/admin.c
+++ b/gateway/admin.c
@@ -102,7 +102,7 @@
     int64_t limited = 0;
     int64_t silent = 0;
     for (size_t i = 0; i < uses->count; i++) {
-        limited += uses->items[i]->gate.limited;
+        limited += uses->items[i]->limiter.limited;
         silent += !account_use_is_connected(uses->items[i], loop_now(accounts->conf.loop));
     }
     set_gauge("irisstall_accounts_in_use", "Client accounts with a limit whose callers came here.",
--- a/gateway/inspect_accounts.c
+++ b/gateway/inspect_accounts.c
@@ -20,7 +20,7 @@
 {
     if (!account_use_is_connected(use, now_ms))
         return "owner silent";
-    return use->gate.limited ? "at limit" : "below limit";
+    return use->limiter.limited ? "at limit" : "below limit";
 }
 
 static void
@@ -29,8 +29,8 @@
 {
     wire_text_printf(out, "%-24s %8.1f %8.0f %10" PRIu64 " %8" PRIu64 " %8.2f %8.1f  %-12s %s\n",
                      use->name.ptr, account->rate_per_s, account->burst, use->used, use->refused,
-                     use->gate.share_per_s, use->tokens, state_of(use, loop_now(news->conf.loop)),
-                     name_of(news, use->owner));
+                     use->limiter.share_per_s, use->tokens,
+                     state_of(use, loop_now(news->conf.loop)), name_of(news, use->owner));
 }
 
 /* Writes the ledger of an account that this instance owns in its region. */
--- a/gateway/membership/account_report.c
+++ b/gateway/membership/account_report.c
@@ -66,10 +66,10 @@
         use->owner_unanswered_since_ms = 0;
     }
     if (grant->unknown) {
-        use->gate = (account_limiter_t){0};
+        use->limiter = (account_limiter_t){0};
         return;
     }
-    account_limiter_set_share(&use->gate, grant->limited, grant->share_per_s,
+    account_limiter_set_share(&use->limiter, grant->limited, grant->share_per_s,
                               account_sync_now(sync));
     use->grant_owner = owner;
     use->tokens = grant->room;
@@ -121,7 +121,7 @@
     out->owner = use->grant_owner;
     out->owner_silent = is_silent(sync, use->grant_owner);
     out->room = (float)use->tokens;
-    out->share_per_s = (float)use->gate.share_per_s;
+    out->share_per_s = (float)use->limiter.share_per_s;
     out->region_per_s = (float)use->region_per_s;
 }
 
@@ -244,7 +244,7 @@
 {
     for (size_t i = 0; i < uses->count; i++) {
         const account_use_t *use = uses->items[i];
-        if (use->report_due || use->unanswered_since_ms != 0 || use->gate.limited)
+        if (use->report_due || use->unanswered_since_ms != 0 || use->limiter.limited)
             return true;
     }
     return false;
--- a/gateway/state/account_uses.c
+++ b/gateway/state/account_uses.c
@@ -78,14 +78,16 @@
 bool
 account_use_is_connected(const account_use_t *use, uint64_t now_ms)
 {
-    const uint64_t timeout_ms = use->gate.has_share ? ANSWER_TIMEOUT_MS : FIRST_ANSWER_TIMEOUT_MS;
+    const uint64_t timeout_ms =
+        use->limiter.has_share ? ANSWER_TIMEOUT_MS : FIRST_ANSWER_TIMEOUT_MS;
     return use->unanswered_since_ms == 0 || now_ms - use->unanswered_since_ms <= timeout_ms;
 }
 
 bool
 account_use_report_is_due(const account_use_t *use, uint64_t now_ms)
 {
-    return use->report_due || (use->gate.limited && now_ms - use->last_report_ms >= KEEPALIVE_MS);
+    return use->report_due ||
+           (use->limiter.limited && now_ms - use->last_report_ms >= KEEPALIVE_MS);
 }
 
 bool
@@ -99,19 +101,20 @@
     const account_limiter_input_t input = {
         .owner_reachable = account_use_is_connected(use, now_ms),
         .equal_share_per_s = account->rate_per_s / (uses->instances > 0 ? uses->instances : 1),
-        .burst_share =
-            use->gate.has_share ? use->tokens * use->gate.share_per_s / account->rate_per_s : 1,
+        .burst_share = use->limiter.has_share
+                           ? use->tokens * use->limiter.share_per_s / account->rate_per_s
+                           : 1,
         .unacknowledged = use->used - use->acked_used,
         .now_ms = now_ms,
     };
-    const bool admitted = account_limiter_admit(&use->gate, &input);
+    const bool admitted = account_limiter_admit(&use->limiter, &input);
     use->refs++;
     use->last_request_ms = now_ms;
     use->requested++;
     use->used += admitted;
     use->refused += !admitted;
     if (!admitted)
-        *retry_after_ms = account_limiter_retry_after_ms(&use->gate, random_fraction);
+        *retry_after_ms = account_limiter_retry_after_ms(&use->limiter, random_fraction);
     mark_report_due(uses, use);
     *out = use;
     return admitted;
@@ -128,7 +131,7 @@
 account_uses_refund(account_uses_t *uses, account_use_t *use)
 {
     use->used--;
-    account_limiter_refund(&use->gate);
+    account_limiter_refund(&use->limiter);
     mark_report_due(uses, use);
 }
 
--- a/gateway/state/account_uses.h
+++ b/gateway/state/account_uses.h
@@ -18,7 +18,7 @@
 typedef struct {
     uint64_t id; /* of the account */
     name_t name;
-    account_limiter_t gate;
+    account_limiter_t limiter;
     uint64_t used;       /* requests admitted, less those that were never sent */
     uint64_t requested;  /* requests received */
     uint64_t refused;    /* requests refused */
--- a/test/gateway/account_model.c
+++ b/test/gateway/account_model.c
@@ -254,7 +254,7 @@
                 .owner = use->grant_owner,
                 .owner_unreachable = is_silent(model, self, use->grant_owner),
                 .tokens = use->tokens,
-                .share_per_s = use->gate.share_per_s,
+                .share_per_s = use->limiter.share_per_s,
                 .region_per_s = use->region_per_s,
             },
     };
@@ -332,7 +332,7 @@
         use->unanswered_since_ms = 0;
         use->owner_unanswered_since_ms = 0;
     }
-    account_limiter_set_share(&use->gate, message->grant.limited, message->grant.share_per_s,
+    account_limiter_set_share(&use->limiter, message->grant.limited, message->grant.share_per_s,
                               model->now_ms);
     use->grant_owner = message->source;
     use->tokens = message->grant.tokens;
@@ -432,7 +432,7 @@
                       model->now_ms - use->owner_unanswered_since_ms > ANSWER_MS;
     if (account_use_report_is_due(use, model->now_ms) || late)
         send_report(model, self, use);
-    const bool more = use->unanswered_since_ms != 0 || use->gate.limited;
+    const bool more = use->unanswered_since_ms != 0 || use->limiter.limited;
     node->report_ms = more ? model->now_ms + REPORT_MS : 0;
 }
 
--- a/test/gateway/test_accounts.c
+++ b/test/gateway/test_accounts.c
@@ -337,16 +337,16 @@
 
 START_TEST(retry_after_is_spread_over_callers)
 {
-    account_limiter_t gate = {0};
-    account_limiter_set_share(&gate, true, 2, 1000);
+    account_limiter_t limiter = {0};
+    account_limiter_set_share(&limiter, true, 2, 1000);
     const account_limiter_input_t input = {.owner_reachable = true, .now_ms = 1000};
-    ck_assert(!account_limiter_admit(&gate, &input));
-    const uint32_t min_ms = account_limiter_retry_after_ms(&gate, 0);
-    const uint32_t max_ms = account_limiter_retry_after_ms(&gate, 0.99);
+    ck_assert(!account_limiter_admit(&limiter, &input));
+    const uint32_t min_ms = account_limiter_retry_after_ms(&limiter, 0);
+    const uint32_t max_ms = account_limiter_retry_after_ms(&limiter, 0.99);
     ck_assert_uint_eq(min_ms, 500); /* one token at two a second */
     ck_assert_uint_ge(max_ms, 990);
     const account_limiter_input_t later = {.owner_reachable = true, .now_ms = 1000 + min_ms};
-    ck_assert(account_limiter_admit(&gate, &later));
+    ck_assert(account_limiter_admit(&limiter, &later));
 }
 END_TEST
 
