--- a/gateway/inspect_accounts.c
+++ b/gateway/inspect_accounts.c
@@ -5,10 +5,10 @@
 #include "base/loop_time.h"
 
 static const char *
-name_of(const account_sync_t *news, uint64_t incarnation)
+name_of(const account_sync_t *sync, uint64_t incarnation)
 {
-    for (size_t i = 0; i < news->conf.members->count; i++) {
-        const member_t *member = &news->conf.members->items[i];
+    for (size_t i = 0; i < sync->conf.members->count; i++) {
+        const member_t *member = &sync->conf.members->items[i];
         if (member->heard && member->incarnation == incarnation)
             return member->instance.ptr;
     }
@@ -24,32 +24,32 @@
 }
 
 static void
-print_use(const account_sync_t *news, const account_use_t *use, const config_account_t *account,
+print_use(const account_sync_t *sync, const account_use_t *use, const config_account_t *account,
           wire_text_t *out)
 {
     wire_text_printf(out, "%-24s %8.1f %8.0f %10" PRIu64 " %8" PRIu64 " %8.2f %8.1f  %-12s %s\n",
                      use->name.ptr, account->rate_per_s, account->burst, use->used, use->refused,
                      use->limiter.share_per_s, use->tokens,
-                     state_of(use, loop_now(news->conf.loop)), name_of(news, use->owner));
+                     state_of(use, loop_now(sync->conf.loop)), name_of(sync, use->owner));
 }
 
 /* Writes the ledger of an account that this instance owns in its region. */
 static void
-print_ledger(const account_sync_t *news, const ledger_t *ledger, wire_text_t *out)
+print_ledger(const account_sync_t *sync, const ledger_t *ledger, wire_text_t *out)
 {
-    const uint64_t now_ms = loop_now(news->conf.loop);
+    const uint64_t now_ms = loop_now(sync->conf.loop);
     wire_text_printf(out, "owned here: room %.1f of %.1f, asked %.1f/s here, %.1f/s everywhere\n",
                      ledger->bucket.tokens, ledger->bucket.burst,
                      ledger_region_demand_per_s(ledger, now_ms),
                      ledger_total_demand_per_s(ledger, now_ms));
     for (size_t i = 0; i < ledger->reporter_count; i++)
         wire_text_printf(out, "  instance %-24s share %8.2f/s, heard %" PRIu64 " ms ago\n",
-                         name_of(news, ledger->reporters[i].source),
+                         name_of(sync, ledger->reporters[i].source),
                          ledger->reporters[i].share_per_s,
                          now_ms - ledger->reporters[i].last_report_ms);
     for (size_t i = 0; i < ledger->peer_count; i++) {
         const size_t region = ledger->peers[i].region;
-        const topology_t *topology = news->conf.topology;
+        const topology_t *topology = sync->conf.topology;
         wire_text_printf(out, "  region %-24s asked %8.1f/s, heard %" PRIu64 " ms ago\n",
                          region < topology->region_count ? topology->regions[region].ptr : "-",
                          ledger->peers[i].demand_per_s, now_ms - ledger->peers[i].last_exchange_ms);
@@ -57,23 +57,23 @@
 }
 
 void
-inspect_accounts(const account_sync_t *news, str_t account, wire_text_t *out)
+inspect_accounts(const account_sync_t *sync, str_t account, wire_text_t *out)
 {
-    const config_t *config = news->conf.catalog->config;
+    const config_t *config = sync->conf.catalog->config;
     if (config == NULL || !config->has_accounts) {
         wire_text_str(out, STR("no client accounts in the configuration\n"));
         return;
     }
     wire_text_printf(out, "%-24s %8s %8s %10s %8s %8s %8s  %-12s %s\n", "ACCOUNT", "RATE_S",
                      "BURST", "USED", "REFUSED", "SHARE_S", "ROOM", "STATE", "OWNER");
-    for (size_t i = 0; i < news->conf.uses->count; i++) {
-        const account_use_t *use = news->conf.uses->items[i];
+    for (size_t i = 0; i < sync->conf.uses->count; i++) {
+        const account_use_t *use = sync->conf.uses->items[i];
         const config_account_t *known = config_account(config, use->id);
         if (known == NULL || (account.len > 0 && !name_eq(&use->name, account)))
             continue;
-        print_use(news, use, known, out);
-        const ledger_t *ledger = account.len > 0 ? ledgers_find(&news->ledgers, use->id) : NULL;
+        print_use(sync, use, known, out);
+        const ledger_t *ledger = account.len > 0 ? ledgers_find(&sync->ledgers, use->id) : NULL;
         if (ledger != NULL)
-            print_ledger(news, ledger, out);
+            print_ledger(sync, ledger, out);
     }
 }
--- a/gateway/inspect_accounts.h
+++ b/gateway/inspect_accounts.h
@@ -11,4 +11,4 @@
 
 /* Writes a line per account in use. If `account` is not empty, only that account and, on its owner,
  * the owner's ledger. */
-void inspect_accounts(const account_sync_t *news, str_t account, wire_text_t *out);
+void inspect_accounts(const account_sync_t *sync, str_t account, wire_text_t *out);
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -317,7 +317,7 @@
     /* A response that refuses the request may omit the limit, so only executed requests clear it.
      * */
     const bool limit_known = said->has_limit || notice->ran;
-    const notice_t news = {
+    const notice_t update = {
         .backend = backend->info.id,
         .born = backend->info.born,
         .limit =
@@ -329,7 +329,7 @@
         .leaving = said->leaving,
         .leaving_since_ms = loop_now(router->loop),
     };
-    catalog_merge_notice(&router->catalog, &news, NOTICE_FROM_ANSWER);
+    catalog_merge_notice(&router->catalog, &update, NOTICE_FROM_ANSWER);
 }
 
 void
--- a/gateway/state/catalog.h
+++ b/gateway/state/catalog.h
@@ -67,7 +67,7 @@
 } notice_source_t;
 
 /* Merges the statement of a backend about itself. */
-void catalog_merge_notice(catalog_t *catalog, const notice_t *news, notice_source_t source);
+void catalog_merge_notice(catalog_t *catalog, const notice_t *update, notice_source_t source);
 /* Counts `count` fields of an answer that could not be used. */
 void catalog_count_unusable_notice(backend_t *backend, unsigned count);
 /* Applies the stored notice to the backend, if there is one. */
--- a/gateway/state/catalog_notices.c
+++ b/gateway/state/catalog_notices.c
@@ -21,15 +21,15 @@
 }
 
 static void
-log_limit(const notice_t *news, const char *source, uint64_t now_ms)
+log_limit(const notice_t *update, const char *source, uint64_t now_ms)
 {
-    const unsigned long long age_ms = (unsigned long long)(now_ms - news->limit.stated_ms);
-    if (news->limit.is_set)
-        LOG_INFO("backend limit set: id=%s per_s=%g age_ms=%llu source=%s", news->backend.ptr,
-                 news->limit.per_s, age_ms, source);
+    const unsigned long long age_ms = (unsigned long long)(now_ms - update->limit.stated_ms);
+    if (update->limit.is_set)
+        LOG_INFO("backend limit set: id=%s per_s=%g age_ms=%llu source=%s", update->backend.ptr,
+                 update->limit.per_s, age_ms, source);
     else
-        LOG_INFO("backend limit withdrawn: id=%s age_ms=%llu source=%s", news->backend.ptr, age_ms,
-                 source);
+        LOG_INFO("backend limit withdrawn: id=%s age_ms=%llu source=%s", update->backend.ptr,
+                 age_ms, source);
 }
 
 static void
@@ -49,28 +49,28 @@
 }
 
 static void
-log_change(const notice_t *news, notice_change_t change, notice_source_t source, uint64_t now_ms)
+log_change(const notice_t *update, notice_change_t change, notice_source_t source, uint64_t now_ms)
 {
     if (change.limit)
-        log_limit(news, source_name(source), now_ms);
+        log_limit(update, source_name(source), now_ms);
     if (change.leaving)
-        LOG_INFO("backend announced shutdown: id=%s age_ms=%llu source=%s", news->backend.ptr,
-                 (unsigned long long)(now_ms - news->leaving_since_ms), source_name(source));
+        LOG_INFO("backend announced shutdown: id=%s age_ms=%llu source=%s", update->backend.ptr,
+                 (unsigned long long)(now_ms - update->leaving_since_ms), source_name(source));
 }
 
 void
-catalog_merge_notice(catalog_t *catalog, const notice_t *news, notice_source_t source)
+catalog_merge_notice(catalog_t *catalog, const notice_t *update, notice_source_t source)
 {
     const uint64_t now_ms = loop_now(catalog->loop);
-    const notice_change_t change = notices_merge(&catalog->notices, news);
-    backend_t *backend = backends_find(&catalog->backends, name_str(&news->backend));
+    const notice_change_t change = notices_merge(&catalog->notices, update);
+    backend_t *backend = backends_find(&catalog->backends, name_str(&update->backend));
     if (backend != NULL)
         catalog_apply_notice(catalog, backend);
-    log_change(news, change, source, now_ms);
+    log_change(update, change, source, now_ms);
     if (!change.limit && !change.leaving)
         return;
     if (source != NOTICE_FROM_ANSWER)
-        notices_mark_sent(&catalog->notices, name_str(&news->backend));
+        notices_mark_sent(&catalog->notices, name_str(&update->backend));
     else if (catalog->on_notice != NULL)
         catalog->on_notice(catalog->ctx);
 }
--- a/gateway/state/notices.c
+++ b/gateway/state/notices.c
@@ -55,7 +55,7 @@
 }
 
 static notice_t *
-insert(notices_t *notices, size_t index, const notice_t *news)
+insert(notices_t *notices, size_t index, const notice_t *update)
 {
     if (notices->count == notices->size) {
         notices->size = notices->size > 0 ? notices->size * 2 : ITEMS_START;
@@ -65,26 +65,26 @@
     memmove(&notices->items[index + 1], &notices->items[index],
             (notices->count - index) * sizeof(*notices->items));
     notices->count++;
-    notices->items[index] = (notice_t){.backend = news->backend, .born = news->born};
+    notices->items[index] = (notice_t){.backend = update->backend, .born = update->born};
     return &notices->items[index];
 }
 
 /* Finds or creates the entry of that incarnation. NULL for an earlier incarnation, or if there is
  * nothing to store. */
 static notice_t *
-get_entry(notices_t *notices, const notice_t *news)
+get_entry(notices_t *notices, const notice_t *update)
 {
-    const str_t backend = name_str(&news->backend);
+    const str_t backend = name_str(&update->backend);
     const size_t index = lower_bound(notices, backend);
     notice_t *notice = entry_at(notices, index, backend);
-    const int order = notice != NULL ? backend_incarnation_order(news->born, notice->born) : 0;
+    const int order = notice != NULL ? backend_incarnation_order(update->born, notice->born) : 0;
     if (order < 0)
         return NULL;
     if (order > 0)
-        *notice = (notice_t){.backend = news->backend, .born = news->born};
+        *notice = (notice_t){.backend = update->backend, .born = update->born};
     if (notice != NULL)
         return notice;
-    return news->limit.is_set || news->leaving ? insert(notices, index, news) : NULL;
+    return update->limit.is_set || update->leaving ? insert(notices, index, update) : NULL;
 }
 
 static bool
@@ -109,16 +109,16 @@
 }
 
 notice_change_t
-notices_merge(notices_t *notices, const notice_t *news)
+notices_merge(notices_t *notices, const notice_t *update)
 {
     notice_change_t change = {0};
-    notice_t *notice = get_entry(notices, news);
+    notice_t *notice = get_entry(notices, update);
     if (notice == NULL)
         return change;
-    change.limit = merge_limit(notice, &news->limit);
-    if (news->leaving && !notice->leaving) {
+    change.limit = merge_limit(notice, &update->limit);
+    if (update->leaving && !notice->leaving) {
         notice->leaving = true;
-        notice->leaving_since_ms = news->leaving_since_ms;
+        notice->leaving_since_ms = update->leaving_since_ms;
         notice->unsent = true;
         change.leaving = true;
     }
--- a/gateway/state/notices.h
+++ b/gateway/state/notices.h
@@ -58,9 +58,9 @@
 
 /* Returns NULL if nothing is known of that incarnation. */
 const notice_t *notices_find(const notices_t *notices, str_t backend, uint64_t born);
-/* Merges the newer parts of `news`: the incarnation, the limit if `limit.stated_ms` is set, the
+/* Merges the newer parts of `update`: the incarnation, the limit if `limit.stated_ms` is set, the
  * shutdown. */
-notice_change_t notices_merge(notices_t *notices, const notice_t *news);
+notice_change_t notices_merge(notices_t *notices, const notice_t *update);
 /* Marks the backend's entry, if any, as known to other instances. */
 void notices_mark_sent(notices_t *notices, str_t backend);
 /* Periodic work: removes entries that no backend server has confirmed for long. Notices from peers
