--- a/gateway/path/attempt.c
+++ b/gateway/path/attempt.c
@@ -57,9 +57,9 @@
     }
     /* Notices of a misdirected or invalid response are not about this backend. */
     if (attempt->verdict == VERDICT_RESPONSE || attempt->verdict == VERDICT_NOT_RUN) {
-        backend_statement_t said;
-        attempt->dialect->notice(head, &said);
-        attempt->on_notice(attempt->ctx, &said, attempt->verdict == VERDICT_RESPONSE);
+        backend_statement_t statement;
+        attempt->dialect->notice(head, &statement);
+        attempt->on_notice(attempt->ctx, &statement, attempt->verdict == VERDICT_RESPONSE);
     }
     attempt->fields.len = 0;
     attempt->dialect->write_response(head, &attempt->fields);
--- a/gateway/path/attempt.h
+++ b/gateway/path/attempt.h
@@ -28,7 +28,7 @@
 /* Called when the attempt has ended; its outcome is already recorded for the backend. */
 typedef void (*attempt_cb_t)(void *ctx, attempt_outcome_t outcome);
 /* Called with the notices in the head of a response. `ran`: the backend executed the request. */
-typedef void (*attempt_notice_cb_t)(void *ctx, const backend_statement_t *said, bool ran);
+typedef void (*attempt_notice_cb_t)(void *ctx, const backend_statement_t *statement, bool ran);
 
 struct attempt {
     uv_loop_t *loop;
--- a/gateway/path/dispatch.c
+++ b/gateway/path/dispatch.c
@@ -224,10 +224,11 @@
 }
 
 void
-dispatch_on_backend_notice(void *ctx, const backend_statement_t *said, bool ran)
+dispatch_on_backend_notice(void *ctx, const backend_statement_t *statement, bool ran)
 {
     const exchange_t *ex = ctx;
-    const response_notice_t notice = {.said = said, .sent_ms = ex->attempt.sent_ms, .ran = ran};
+    const response_notice_t notice = {
+        .statement = statement, .sent_ms = ex->attempt.sent_ms, .ran = ran};
     router_apply_notice(ex->owner->router, exchange_last_tried(ex), &notice);
 }
 
--- a/gateway/path/dispatch.h
+++ b/gateway/path/dispatch.h
@@ -25,6 +25,6 @@
 /* Collects the input of a retry decision. */
 retry_input_t dispatch_retry_input(const exchange_t *ex);
 /* Callback for notices in a response; `ctx` is the exchange. */
-void dispatch_on_backend_notice(void *ctx, const backend_statement_t *said, bool ran);
+void dispatch_on_backend_notice(void *ctx, const backend_statement_t *statement, bool ran);
 /* Callback for a finished attempt; `ctx` is the exchange. */
 void dispatch_on_attempt_end(void *ctx, attempt_outcome_t outcome);
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -295,11 +295,11 @@
 {
     const uint64_t now_ms = loop_now(router->loop);
     const bool was_in_backoff = backend->backoff.until_ms > 0;
-    if (notice->said->has_backoff) {
+    if (notice->statement->has_backoff) {
         if (!backoff_is_active(&backend->backoff, now_ms))
             LOG_INFO("backend requested backoff: id=%s rest_ms=%llu", backend->info.id.ptr,
-                     (unsigned long long)notice->said->backoff_ms);
-        backoff_request(&backend->backoff, notice->said->backoff_ms, now_ms);
+                     (unsigned long long)notice->statement->backoff_ms);
+        backoff_request(&backend->backoff, notice->statement->backoff_ms, now_ms);
         return;
     }
     backoff_attempt_ended(&backend->backoff, notice->sent_ms, notice->ran);
@@ -310,23 +310,23 @@
 void
 router_apply_notice(router_t *router, backend_t *backend, const response_notice_t *notice)
 {
-    const backend_statement_t *said = notice->said;
+    const backend_statement_t *statement = notice->statement;
     apply_backoff(router, backend, notice);
-    if (said->unusable > 0)
-        catalog_count_unusable_notice(backend, said->unusable);
+    if (statement->unusable > 0)
+        catalog_count_unusable_notice(backend, statement->unusable);
     /* A response that refuses the request may omit the limit, so only executed requests clear it.
      * */
-    const bool limit_known = said->has_limit || notice->ran;
+    const bool limit_known = statement->has_limit || notice->ran;
     const notice_t update = {
         .backend = backend->info.id,
         .born = backend->info.born,
         .limit =
             {
-                .is_set = said->has_limit,
-                .per_s = said->limit_per_s,
+                .is_set = statement->has_limit,
+                .per_s = statement->limit_per_s,
                 .stated_ms = limit_known ? notice->sent_ms : 0,
             },
-        .leaving = said->leaving,
+        .leaving = statement->leaving,
         .leaving_since_ms = loop_now(router->loop),
     };
     catalog_merge_notice(&router->catalog, &update, NOTICE_FROM_ANSWER);
--- a/gateway/router.h
+++ b/gateway/router.h
@@ -110,7 +110,7 @@
 void router_count_refused(router_t *router, service_t *service);
 /* Notices that a backend sent in a response. */
 typedef struct {
-    const backend_statement_t *said;
+    const backend_statement_t *statement;
     uint64_t sent_ms; /* loop time at which its request was sent */
     bool ran;         /* the backend executed that request */
 } response_notice_t;
