--- a/gateway/membership/permit_exchange.c
+++ b/gateway/membership/permit_exchange.c
@@ -98,16 +98,16 @@
     const members_t *members = exchange->conf.members;
     const uint64_t now_ms = current_ms(exchange);
     size_t known = 0;
-    size_t heard = 0;
+    size_t live = 0;
     for (size_t i = 0; i < members->count; i++) {
         const member_t *member = &members->items[i];
         if (!member->heard || member->region != exchange->conf.region ||
             member->refuses_connections || now_ms - member->heard_ms > MEMBER_EXPIRE_MS)
             continue;
         known++;
-        heard += member_alive(member, now_ms);
+        live += member_alive(member, now_ms);
     }
-    return rate_limit_permits(limit_per_s, heard, known);
+    return rate_limit_permits(limit_per_s, live, known);
 }
 
 /* Grants or refuses a permit as the owner. */
--- a/gateway/policy/rate_limit.c
+++ b/gateway/policy/rate_limit.c
@@ -9,9 +9,9 @@
 #define MS_PER_S 1000.0
 
 permit_rate_t
-rate_limit_permits(double limit_per_s, size_t heard, size_t known)
+rate_limit_permits(double limit_per_s, size_t live, size_t known)
 {
-    const double part = 2 * heard > known ? 1 : (double)heard / (double)known;
+    const double part = 2 * live > known ? 1 : (double)live / (double)known;
     const double rate = RATE_SHARE * limit_per_s;
     const double burst = part * (BURST_BASE + BURST_S * limit_per_s);
     return (permit_rate_t){
--- a/gateway/policy/rate_limit.h
+++ b/gateway/policy/rate_limit.h
@@ -33,9 +33,9 @@
     double burst;
 } permit_rate_t;
 
-/* Returns the permit rate. `heard` and `known`: instances of the owner's region, including itself.
+/* Returns the permit rate. `live` and `known`: instances of the owner's region, including itself.
  */
-permit_rate_t rate_limit_permits(double limit_per_s, size_t heard, size_t known);
+permit_rate_t rate_limit_permits(double limit_per_s, size_t live, size_t known);
 
 /* Returns the slots that the limit can keep busy, at most `slots`. `answer_ms`: usual response time
  * of the service, 0 if not known. */
--- a/test/gateway/limit_model.c
+++ b/test/gateway/limit_model.c
@@ -152,13 +152,13 @@
 static permit_rate_t
 rate_of(const model_t *model, unsigned owner)
 {
-    size_t heard = 0;
+    size_t live = 0;
     size_t known = 0;
     for (unsigned i = 0; i < model->conf.instances; i += REGIONS) {
         known++;
-        heard += seems_alive(model, owner, i);
+        live += seems_alive(model, owner, i);
     }
-    return rate_limit_permits(model->conf.limit_per_s, heard, known);
+    return rate_limit_permits(model->conf.limit_per_s, live, known);
 }
 
 static bool
