--- a/gateway/path/access_log.h
+++ b/gateway/path/access_log.h
@@ -9,7 +9,7 @@
 #include "base/str.h"
 #include "gateway/path/lateness.h"
 #include "gateway/policy/choice.h"
-#include "gateway/policy/final_answer.h"
+#include "gateway/policy/final_response.h"
 #include "gateway/policy/retry.h"
 
 /* A finished request. Names are NULL where unknown. */
--- a/gateway/path/completion.c
+++ b/gateway/path/completion.c
@@ -56,12 +56,12 @@
 }
 
 static void
-send_final_response(exchange_t *ex, const final_answer_t *answer)
+send_final_response(exchange_t *ex, const final_response_t *response)
 {
     wire_text_t fields = {0};
-    ex->owner->dialect->write_gateway_response(ex->metadata.id, answer->retry_after_ms, &fields);
-    log_end(ex, answer->status, answer->outcome);
-    wire_respond(ex->req, answer->status, (str_t){fields.ptr, fields.len}, STR(""));
+    ex->owner->dialect->write_gateway_response(ex->metadata.id, response->retry_after_ms, &fields);
+    log_end(ex, response->status, response->outcome);
+    wire_respond(ex->req, response->status, (str_t){fields.ptr, fields.len}, STR(""));
     free(fields.ptr);
     exchange_release(ex);
 }
@@ -70,8 +70,8 @@
 completion_refuse(exchange_t *ex, outcome_t why)
 {
     const uint64_t uptime_ms = exchange_now_ms(ex) - ex->owner->router->started_ms;
-    const final_answer_t answer = final_answer(why, ex->may_have_run, uptime_ms);
-    send_final_response(ex, &answer);
+    const final_response_t response = final_response(why, ex->may_have_run, uptime_ms);
+    send_final_response(ex, &response);
 }
 
 void
@@ -83,24 +83,24 @@
         return;
     }
     const double point = rng_unit(&ex->owner->router->rng);
-    const final_answer_t answer =
-        final_answer_all_skipped(ex->may_have_run, ex->choice.wait_ms, point);
-    send_final_response(ex, &answer);
+    const final_response_t response =
+        final_response_all_skipped(ex->may_have_run, ex->choice.wait_ms, point);
+    send_final_response(ex, &response);
 }
 
 void
 completion_refuse_quarantined(exchange_t *ex, uint64_t held_ms)
 {
-    const final_answer_t answer = final_answer_held(held_ms);
+    const final_response_t response = final_response_held(held_ms);
     suspects_count_refused(ex->owner->suspects, &ex->fingerprint);
-    send_final_response(ex, &answer);
+    send_final_response(ex, &response);
 }
 
 void
 completion_refuse_over_limit(exchange_t *ex, uint32_t retry_after_ms)
 {
-    const final_answer_t answer = final_answer_over_limit(retry_after_ms);
-    send_final_response(ex, &answer);
+    const final_response_t response = final_response_over_limit(retry_after_ms);
+    send_final_response(ex, &response);
 }
 
 void
--- a/gateway/path/exchange.c
+++ b/gateway/path/exchange.c
@@ -138,7 +138,7 @@
     ex->route = config_route(ex->config, wire_head_find(&req->head, STR("host")),
                              wire_head_path(&req->head));
     if (ex->route == NULL || ex->route->target_count == 0) {
-        completion_refuse(ex, final_answer_no_route(catalog_is_behind(&router->catalog)));
+        completion_refuse(ex, final_response_no_route(catalog_is_behind(&router->catalog)));
         return;
     }
     if (!authenticate_account(ex) || !admit_account_use(ex))
--- a/gateway/path/exchange.h
+++ b/gateway/path/exchange.h
@@ -2,7 +2,7 @@
  * Exchange: one request of a caller, from its arrival to its response.
  *
  * Obtains each decision and carries it out: route and service, backend server (router.h),
- * attempt (attempt.h), retry (policy/retry.h), final response (policy/final_answer.h). Tracks
+ * attempt (attempt.h), retry (policy/retry.h), final response (policy/final_response.h). Tracks
  * whether an attempt may have executed the request. Owns the request from the listener until it
  * is answered, aborted or its caller disconnects. Relies on the router for the known state and
  * on the dialect for the platform's header fields. exchange_state.h lists the files of this
--- a/gateway/policy/final_answer.c
+++ b/gateway/policy/final_response.c
@@ -1,4 +1,4 @@
-#include "gateway/policy/final_answer.h"
+#include "gateway/policy/final_response.h"
 
 #include <http_parser.h>
 
@@ -21,49 +21,49 @@
 }
 
 outcome_t
-final_answer_no_route(bool newer_known)
+final_response_no_route(bool newer_known)
 {
     return newer_known ? OUTCOME_CONFIGURATION_STALE : OUTCOME_NO_ROUTE;
 }
 
-final_answer_t
-final_answer(outcome_t why, bool may_have_run, uint64_t uptime_ms)
+final_response_t
+final_response(outcome_t why, bool may_have_run, uint64_t uptime_ms)
 {
     const outcome_t outcome = why == OUTCOME_TIMEOUT ? OUTCOME_TIMEOUT_UNSENT : why;
     if (why == OUTCOME_NO_ROUTE)
-        return (final_answer_t){HTTP_STATUS_NOT_FOUND, 0, why};
+        return (final_response_t){HTTP_STATUS_NOT_FOUND, 0, why};
     if (why == OUTCOME_DENIED)
-        return (final_answer_t){HTTP_STATUS_UNAUTHORIZED, 0, why};
+        return (final_response_t){HTTP_STATUS_UNAUTHORIZED, 0, why};
     if (why == OUTCOME_TIMEOUT && may_have_run)
-        return (final_answer_t){HTTP_STATUS_GATEWAY_TIMEOUT, 0, why};
+        return (final_response_t){HTTP_STATUS_GATEWAY_TIMEOUT, 0, why};
     if (may_have_run)
-        return (final_answer_t){HTTP_STATUS_BAD_GATEWAY, 0, OUTCOME_UNKNOWN};
-    return (final_answer_t){HTTP_STATUS_SERVICE_UNAVAILABLE, retry_after_ms(outcome, uptime_ms),
-                            outcome};
+        return (final_response_t){HTTP_STATUS_BAD_GATEWAY, 0, OUTCOME_UNKNOWN};
+    return (final_response_t){HTTP_STATUS_SERVICE_UNAVAILABLE, retry_after_ms(outcome, uptime_ms),
+                              outcome};
 }
 
-final_answer_t
-final_answer_over_limit(uint32_t retry_after_ms)
+final_response_t
+final_response_over_limit(uint32_t retry_after_ms)
 {
-    return (final_answer_t){HTTP_STATUS_TOO_MANY_REQUESTS, retry_after_ms, OUTCOME_OVER_LIMIT};
+    return (final_response_t){HTTP_STATUS_TOO_MANY_REQUESTS, retry_after_ms, OUTCOME_OVER_LIMIT};
 }
 
-final_answer_t
-final_answer_all_skipped(bool may_have_run, uint64_t wait_ms, double point)
+final_response_t
+final_response_all_skipped(bool may_have_run, uint64_t wait_ms, double point)
 {
-    final_answer_t answer = final_answer(OUTCOME_ALL_SKIPPED, may_have_run, 0);
+    final_response_t response = final_response(OUTCOME_ALL_SKIPPED, may_have_run, 0);
     if (may_have_run || wait_ms == 0)
-        return answer;
+        return response;
     const uint64_t delay_ms = wait_ms + (uint64_t)(point * RETRY_JITTER_MS);
-    answer.retry_after_ms = delay_ms < UINT32_MAX ? (uint32_t)delay_ms : UINT32_MAX;
-    return answer;
+    response.retry_after_ms = delay_ms < UINT32_MAX ? (uint32_t)delay_ms : UINT32_MAX;
+    return response;
 }
 
-final_answer_t
-final_answer_held(uint64_t held_ms)
+final_response_t
+final_response_held(uint64_t held_ms)
 {
     const uint32_t retry_after = held_ms < UINT32_MAX ? (uint32_t)held_ms : UINT32_MAX;
-    return (final_answer_t){HTTP_STATUS_SERVICE_UNAVAILABLE, retry_after, OUTCOME_QUARANTINED};
+    return (final_response_t){HTTP_STATUS_SERVICE_UNAVAILABLE, retry_after, OUTCOME_QUARANTINED};
 }
 
 const char *
--- a/gateway/policy/final_answer.h
+++ b/gateway/policy/final_response.h
@@ -43,19 +43,19 @@
     int status;              /* HTTP */
     uint32_t retry_after_ms; /* 0: no Retry-After */
     outcome_t outcome;       /* for metrics and log */
-} final_answer_t;
+} final_response_t;
 
 /* Returns the outcome of a request without a route; `newer_known`: a newer configuration exists. */
-outcome_t final_answer_no_route(bool newer_known);
+outcome_t final_response_no_route(bool newer_known);
 /* Returns the response to a request that failed because of `why`. */
-final_answer_t final_answer(outcome_t why, bool may_have_run, uint64_t uptime_ms);
+final_response_t final_response(outcome_t why, bool may_have_run, uint64_t uptime_ms);
 /* Returns the response to a request of a client account that is over its limit. */
-final_answer_t final_answer_over_limit(uint32_t retry_after_ms);
+final_response_t final_response_over_limit(uint32_t retry_after_ms);
 /* Returns the response to a request for which all backends are skipped (backend_skip.h). `wait_ms`:
  * time until the first one is available, 0 if not known; `point`: random in [0, 1), spreads the
  * retries of callers that were refused together. */
-final_answer_t final_answer_all_skipped(bool may_have_run, uint64_t wait_ms, double point);
+final_response_t final_response_all_skipped(bool may_have_run, uint64_t wait_ms, double point);
 /* Returns the response to a quarantined request of which nothing was sent; it may be retried after
  * `held_ms`. */
-final_answer_t final_answer_held(uint64_t held_ms);
+final_response_t final_response_held(uint64_t held_ms);
 const char *outcome_name(outcome_t outcome);
--- a/gateway/policy/rate_limit.c
+++ b/gateway/policy/rate_limit.c
@@ -21,8 +21,8 @@
 }
 
 double
-rate_limit_usable_slots(double limit_per_s, double slots, double answer_ms)
+rate_limit_usable_slots(double limit_per_s, double slots, double response_ms)
 {
-    const double busy = limit_per_s * answer_ms / MS_PER_S;
-    return answer_ms > 0 && busy < slots ? busy : slots;
+    const double busy = limit_per_s * response_ms / MS_PER_S;
+    return response_ms > 0 && busy < slots ? busy : slots;
 }
--- a/gateway/policy/rate_limit.h
+++ b/gateway/policy/rate_limit.h
@@ -37,6 +37,6 @@
  */
 permit_rate_t rate_limit_permits(double limit_per_s, size_t live, size_t known);
 
-/* Returns the slots that the limit can keep busy, at most `slots`. `answer_ms`: usual response time
- * of the service, 0 if not known. */
-double rate_limit_usable_slots(double limit_per_s, double slots, double answer_ms);
+/* Returns the slots that the limit can keep busy, at most `slots`. `response_ms`: usual response
+ * time of the service, 0 if not known. */
+double rate_limit_usable_slots(double limit_per_s, double slots, double response_ms);
--- a/gateway/router.c
+++ b/gateway/router.c
@@ -117,9 +117,9 @@
             continue;
         const service_t *service =
             services_find(&router->services, name_str(&backend->info.service));
-        const double answer_ms = service != NULL ? service->latency_ms : 0;
+        const double response_ms = service != NULL ? service->latency_ms : 0;
         backend->plan_slots =
-            rate_limit_usable_slots(backend->limit.per_s, backend->info.capacity, answer_ms);
+            rate_limit_usable_slots(backend->limit.per_s, backend->info.capacity, response_ms);
     }
 }
 
--- a/test/gateway/test_final_answer.c
+++ b/test/gateway/test_final_response.c
@@ -1,7 +1,7 @@
 /* Responses made by the gateway: deadline, slow attempts, final answer. */
 #include "base/xmalloc.h"
 #include "gateway/policy/deadline.h"
-#include "gateway/policy/final_answer.h"
+#include "gateway/policy/final_response.h"
 #include "gateway/policy/slow.h"
 #include "test/suites.h"
 
@@ -26,10 +26,10 @@
         {OUTCOME_CONFIGURATION_STALE, false, 503, true, OUTCOME_CONFIGURATION_STALE},
     };
     for (size_t i = 0; i < ALEN(rows); i++) {
-        const final_answer_t answer = final_answer(rows[i].why, rows[i].may_have_run, 60000);
-        ck_assert_int_eq(answer.status, rows[i].status);
-        ck_assert(rows[i].come_back == (answer.retry_after_ms > 0));
-        ck_assert_int_eq(answer.outcome, rows[i].outcome);
+        const final_response_t response = final_response(rows[i].why, rows[i].may_have_run, 60000);
+        ck_assert_int_eq(response.status, rows[i].status);
+        ck_assert(rows[i].come_back == (response.retry_after_ms > 0));
+        ck_assert_int_eq(response.outcome, rows[i].outcome);
     }
 }
 END_TEST
@@ -39,29 +39,31 @@
 {
     enum { SERVES_MS = 800 };
     for (uint64_t uptime_ms = 0; uptime_ms <= 5000; uptime_ms += 100) {
-        const final_answer_t answer = final_answer(OUTCOME_NO_CONFIGURATION, false, uptime_ms);
-        ck_assert_int_eq(answer.status, 503);
-        ck_assert_uint_ge(uptime_ms + answer.retry_after_ms, SERVES_MS);
-        ck_assert_uint_le(answer.retry_after_ms, SERVES_MS);
+        const final_response_t response =
+            final_response(OUTCOME_NO_CONFIGURATION, false, uptime_ms);
+        ck_assert_int_eq(response.status, 503);
+        ck_assert_uint_ge(uptime_ms + response.retry_after_ms, SERVES_MS);
+        ck_assert_uint_le(response.retry_after_ms, SERVES_MS);
         /* Other refusals do not depend on the uptime. */
-        ck_assert_uint_eq(final_answer(OUTCOME_NO_CAPACITY, false, uptime_ms).retry_after_ms, 400);
+        ck_assert_uint_eq(final_response(OUTCOME_NO_CAPACITY, false, uptime_ms).retry_after_ms,
+                          400);
     }
 }
 END_TEST
 
 START_TEST(quarantined_request_gets_retry_after)
 {
-    const final_answer_t answer = final_answer_held(2750);
-    ck_assert_int_eq(answer.status, 503);
-    ck_assert_uint_eq(answer.retry_after_ms, 2750);
-    ck_assert_int_eq(answer.outcome, OUTCOME_QUARANTINED);
+    const final_response_t response = final_response_held(2750);
+    ck_assert_int_eq(response.status, 503);
+    ck_assert_uint_eq(response.retry_after_ms, 2750);
+    ck_assert_int_eq(response.outcome, OUTCOME_QUARANTINED);
 }
 END_TEST
 
 START_TEST(unknown_route_is_denied_only_by_current_configuration)
 {
-    ck_assert_int_eq(final_answer_no_route(false), OUTCOME_NO_ROUTE);
-    ck_assert_int_eq(final_answer_no_route(true), OUTCOME_CONFIGURATION_STALE);
+    ck_assert_int_eq(final_response_no_route(false), OUTCOME_NO_ROUTE);
+    ck_assert_int_eq(final_response_no_route(true), OUTCOME_CONFIGURATION_STALE);
 }
 END_TEST
 
@@ -128,7 +130,7 @@
 END_TEST
 
 Suite *
-suite_gateway_final_answer(void)
+suite_gateway_final_response(void)
 {
     Suite *suite = suite_create("gateway: final answer");
     TCase *tests = tcase_create("final answer");
--- a/test/suites.h
+++ b/test/suites.h
@@ -24,7 +24,7 @@
 Suite *suite_gateway_lifetime(void);
 Suite *suite_gateway_silent(void);
 Suite *suite_gateway_listener(void);
-Suite *suite_gateway_final_answer(void);
+Suite *suite_gateway_final_response(void);
 Suite *suite_gateway_admission(void);
 Suite *suite_gateway_breaker(void);
 Suite *suite_gateway_view(void);
