--- a/gateway/gateway.h
+++ b/gateway/gateway.h
@@ -38,7 +38,7 @@
 bool gateway_avoids(const gateway_t *gateway, str_t backend_id);
 /* For tests: the state of a backend on this instance; NULL if unknown. */
 const backend_t *gateway_backend(const gateway_t *gateway, str_t id);
-/* For tests: number of instances heard of recently, including this one. */
+/* For tests: number of instances known to be alive, including this one. */
 unsigned gateway_live_instances(const gateway_t *gateway);
 /* For tests: number of requests in progress. */
 size_t gateway_active(const gateway_t *gateway);
--- a/gateway/membership/heartbeat.c
+++ b/gateway/membership/heartbeat.c
@@ -217,7 +217,8 @@
     peer_send(heartbeat->conf.hub, &member->peer, &envelope);
 }
 
-/* True if the store has begun or ceased to fail for this instance, which affects who watches it. */
+/* True if the store has begun or ceased to fail for this instance, which affects which instances
+ * watch it. */
 static bool
 store_status_changed(const heartbeat_t *heartbeat)
 {
--- a/gateway/membership/heartbeat.h
+++ b/gateway/membership/heartbeat.h
@@ -40,7 +40,7 @@
     bool store_failing;       /* as sent in the last heartbeat */
     unsigned replies_sent;    /* to new or restarted members */
     unsigned heard_log_lines; /* "instance heard" events since the last tick */
-    bool resumed;             /* the process stalled: peers resend what it missed */
+    bool resumed;             /* the process stalled: peers resend messages it missed */
     bool is_due;              /* send at the next tick, whatever the interval */
 } heartbeat_t;
 
@@ -52,7 +52,7 @@
 void heartbeat_leave(heartbeat_t *heartbeat, uint64_t now_ms);
 /* Sends a heartbeat to the members that are due in this round. */
 void heartbeat_send(heartbeat_t *heartbeat, uint64_t now_ms);
-/* Sends a heartbeat that asks for messages missed while the process was stalled. */
+/* Sends a heartbeat that requests the messages missed while the process was stalled. */
 void heartbeat_resume(heartbeat_t *heartbeat, uint64_t now_ms);
 /* Makes a heartbeat due at the next tick, including to members that were never heard. */
 void heartbeat_retry_unheard(heartbeat_t *heartbeat);
--- a/gateway/membership/members.h
+++ b/gateway/membership/members.h
@@ -136,7 +136,7 @@
 /* Number of alive members in all regions, and in one. */
 size_t members_count_alive(const members_t *members, uint64_t now_ms);
 size_t members_count_alive_in_region(const members_t *members, size_t region, uint64_t now_ms);
-/* Number of instances in all regions: those ever heard of, or more if other regions report more. */
+/* Number of instances in all regions: those in the table, or more if other regions report more. */
 size_t members_total(const members_t *members, size_t own_region);
 /* Milliseconds between heartbeats of an instance of the region. */
 uint32_t members_interval_ms(const members_t *members, size_t region, uint64_t now_ms);
--- a/gateway/membership/permit_exchange.h
+++ b/gateway/membership/permit_exchange.h
@@ -3,8 +3,8 @@
  * owner, which grants or refuses them.
  *
  * The owner (owner.h) is an instance in the backend server's region, close to the instances that
- * send most requests there. Requests and answers carry what the sender knows about the limit, so
- * that both sides keep the latest value. An instance that is not the owner forwards the request
+ * send most requests there. Requests and answers carry the latest limit known to the sender, so
+ * that both sides keep the newer one. An instance that is not the owner forwards the request
  * once. A request without a timely answer counts as refused.
  *
  * Owns the pending requests and the buckets of the backend servers that this instance owns. Depends
--- a/gateway/path/time_limit.c
+++ b/gateway/path/time_limit.c
@@ -34,7 +34,7 @@
 }
 
 /* Handles an overdue attempt. It is cancelled only if another backend is available; otherwise its
- * own backend may still answer. */
+ * own backend may still respond. */
 static void
 on_overdue(exchange_t *ex)
 {
--- a/gateway/policy/account_limiter.h
+++ b/gateway/policy/account_limiter.h
@@ -10,9 +10,9 @@
  *    instance's share and starts empty.
  *  - The owner is not reachable: the same bucket, starting with at most one token. The rate is the
  *    last share, at least half of an equal share, or an equal share if none was received. The owner
- *    counts what it has lent as spent.
- *  - A refused caller is told to retry when the next token is due, plus a random delay of up to as
- *    long again, so that refused callers do not retry at the same time.
+ *    counts granted shares as used.
+ *  - Retry-After of a refused request is the time until the next token plus a random delay of up to
+ *    the same length, so that refused callers do not retry at the same time.
  *
  * An account at average load has less than one request in flight per instance, so tokens can't be
  * distributed in advance; the limit is enforced only once it is needed.
--- a/gateway/policy/account_share.c
+++ b/gateway/policy/account_share.c
@@ -8,8 +8,8 @@
  * released. */
 #define LIMIT_BELOW 0.3
 #define RELEASE_ABOVE 0.5
-/* Release level while the demand exceeds the limit by this factor; a higher level avoids limiting
- * and releasing in turns. */
+/* Release level while the demand exceeds the limit by this factor; a higher level avoids
+ * alternating between limited and released. */
 #define OVERLOAD_FACTOR 1.25
 #define RELEASE_ABOVE_OVERLOADED 0.9
 /* Demand, as a part of the limit, below which the account is never limited: a new owner may start
--- a/gateway/policy/account_share.h
+++ b/gateway/policy/account_share.h
@@ -16,7 +16,7 @@
  *    that the account gets its whole limit.
  *
  * Below its limit an account is not refused anything, wherever its callers are. Above the limit the
- * excess is bounded by what arrives within 0.2 s.
+ * excess is bounded by the requests that arrive within 0.2 s.
  *
  * See docs/design/gateway/client-accounts.md. Stateless.
  */
--- a/gateway/policy/backoff.c
+++ b/gateway/policy/backoff.c
@@ -1,6 +1,6 @@
 #include "gateway/policy/backoff.h"
 
-/* Upper bound on the delay; a backend that asks for more is probed once a minute. */
+/* Upper bound on the delay; a backend that requests more is probed once a minute. */
 enum { BACKOFF_MAX_MS = 60000 };
 
 void
--- a/gateway/policy/rate_limit.h
+++ b/gateway/policy/rate_limit.h
@@ -6,9 +6,9 @@
  *    bucket at 0.95 of the limit. The burst is two tokens plus 0.1 s of the limit. A permit that
  *    arrives more than 0.25 s after its request is discarded, so that a paused instance does not
  *    send late.
- *  - An owner that hears more than half of the instances of its region grants the whole rate; one
- *    that hears fewer grants their part. The sides of a partition together stay below one and a
- *    half times the limit.
+ *  - An owner that reaches more than half of the instances of its region grants the whole rate;
+ *    otherwise it grants the fraction that it reaches. The sides of a partition together stay below
+ *    one and a half times the limit.
  *  - One request in ten seconds is permitted however low the limit is, to probe the backend.
  *  - The backend keeps its rank for each object; a request without a permit goes to the next
  *    backend at once, which then keeps the object in memory. In the region plan the backend counts
@@ -33,7 +33,8 @@
     double burst;
 } permit_rate_t;
 
-/* Returns the permit rate. `live` and `known`: instances of the owner's region, including itself.
+/* Returns the permit rate. `live` and `known`: numbers of alive and of all
+ * instances of the owner's region, including itself.
  */
 permit_rate_t rate_limit_permits(double limit_per_s, size_t live, size_t known);
 
--- a/gateway/policy/store_schedule.c
+++ b/gateway/policy/store_schedule.c
@@ -13,7 +13,7 @@
     /* Longest startup delay. Few instances read the store early, so that most get the views from
      * these readers. */
     START_SPREAD_MS = 600,
-    SEED_START_MS = 0,     /* seeds read at once, the others ask them */
+    SEED_START_MS = 0,     /* seeds read at once; the others request views from them */
     PROBE_MS = 1000,       /* interval of each of the first instances */
     PROBE_OTHERS_MS = 500, /* between two probes of the others together */
     /* Pause between two watches. Entries change often in a large deployment and each change answers
--- a/gateway/policy/store_schedule.h
+++ b/gateway/policy/store_schedule.h
@@ -9,7 +9,7 @@
  *    and the others get the views from them.
  *
  * Calls to the store are billed, and their rate is limited for the whole fleet. Without a schedule
- * most calls came from instances that all read the store at start, or all took themselves for the
+ * most calls came from instances that all read the store at start, or all acted as
  * watchers of their region.
  *
  * Stateless. Ranks are positions in an order of a region's instances that is the same on all of
--- a/gateway/router.h
+++ b/gateway/router.h
@@ -49,10 +49,10 @@
     object_rates_t objects;
     double traffic_scale; /* requests of the own region per request of this instance */
     route_stats_t routes;
-    cold_sender_t senders[MEMBERS_MAX]; /* all instances ever heard of */
+    cold_sender_t senders[MEMBERS_MAX]; /* all instances known */
     size_t sender_count;
     bool senders_settled;
-    unsigned live_instances; /* instances heard of recently, including this one */
+    unsigned live_instances; /* instances known to be alive, including this one */
     unsigned instances;      /* total number of instances, from members_total() */
 } router_t;
 
--- a/gateway/state/account_lease.h
+++ b/gateway/state/account_lease.h
@@ -1,6 +1,6 @@
 /*
- * Leases: the shares that an account's owner has granted to instances and regions it does not hear
- * from. Internal to account_ledger.h.
+ * Leases: the shares that an account's owner has granted to silent instances and regions. Internal
+ * to account_ledger.h.
  */
 #pragma once
 
--- a/gateway/state/backend.c
+++ b/gateway/state/backend.c
@@ -8,11 +8,11 @@
 
 enum {
     ID_HASH_SEED = 41, /* any constant; the same on every instance */
-    /* Half-life of the load that an answer reported. */
+    /* Half-life of the load that a response reported. */
     LOAD_HALF_LIFE_MS = 400,
 };
 
-/* Weight of a new answer in the moving average of service times. */
+/* Weight of a new response in the moving average of service times. */
 #define SERVICE_TIME_GAIN 0.1
 
 backend_t *
--- a/gateway/state/backend.h
+++ b/gateway/state/backend.h
@@ -33,7 +33,7 @@
     uint64_t born;     /* start of this incarnation in Unix milliseconds; 0: unknown */
 } backend_info_t;
 
-/* The load that a backend reports in an answer. */
+/* The load that a backend reports in a response. */
 typedef struct {
     uint32_t running; /* requests in its slots */
     uint32_t waiting; /* requests in its queue */
@@ -49,10 +49,10 @@
     uint64_t revision;           /* of the entry that `info` was read from */
     bool listed;                 /* false once removed from the list */
     bool hall_closed;            /* its data hall is closed and must get no requests */
-    bool replaced;               /* another backend answers at its address */
-    bool stated_leaving;         /* it announced its shutdown in an answer; never reset */
+    bool replaced;               /* another backend responds at its address */
+    bool stated_leaving;         /* it announced its shutdown in a response; never reset */
     backoff_t backoff;           /* pause that it asked this instance for */
-    backend_limit_t limit;       /* rate limit that it stated in its answers */
+    backend_limit_t limit;       /* rate limit that it stated in its responses */
     double plan_slots;           /* slots assigned by region plans while it has a limit; 0: all */
     uint64_t next_permit_ms;     /* earliest time of the next permit request */
     unsigned permits_pending;    /* permit requests without an answer so far */
@@ -69,7 +69,8 @@
     health_t health;
     bool logged_avoided;    /* logged as avoided */
     bool end_check_running; /* a check for its end is running (path/end_check.h) */
-    double service_time_ms; /* moving average over answers that did not queue; 0 before the first */
+    double
+        service_time_ms; /* moving average over responses that did not queue; 0 before the first */
 } backend_t;
 
 /* The caller gets a reference. Takes ownership of `pool`, which may be NULL. */
@@ -93,13 +94,13 @@
 bool backend_is_cold(const backend_t *backend, uint64_t now_ms);
 /* Marks it cold for at least `cold_ms` from now on. */
 void backend_extend_cold(backend_t *backend, uint64_t cold_ms, uint64_t now_ms);
-/* True if its entry or one of its own answers says that it is shutting down. */
+/* True if its entry or one of its own responses announces its shutdown. */
 bool backend_is_leaving(const backend_t *backend);
 /* True if it may get new requests. Load and the pacing of cold backends are not considered. */
 bool backend_is_usable(const backend_t *backend, uint64_t now_ms);
 /* Count the attempts of this instance. */
 void backend_attempt_started(backend_t *backend);
 void backend_attempt_finished(backend_t *backend);
-/* A usable answer came after `latency_ms`. `queued` is true if all slots were taken when the
+/* A usable response arrived after `latency_ms`. `queued` is true if all slots were taken when the
  * request was sent; its latency is not counted then. */
 void backend_answered(backend_t *backend, double latency_ms, bool queued);
--- a/gateway/state/catalog.h
+++ b/gateway/state/catalog.h
@@ -36,7 +36,7 @@
     backends_t backends;
     bool backends_known;          /* a complete list has been applied */
     departures_t departures;      /* announced by peers before the list changed */
-    notices_t notices;            /* statements of backends in their answers */
+    notices_t notices;            /* statements of backends in their responses */
     void (*on_notice)(void *ctx); /* a notice is to be sent to other instances */
     void *ctx;
     departures_t new_departures; /* found by the last change of the list */
@@ -68,7 +68,7 @@
 
 /* Merges the statement of a backend about itself. */
 void catalog_merge_notice(catalog_t *catalog, const notice_t *update, notice_source_t source);
-/* Counts `count` fields of an answer that could not be used. */
+/* Counts `count` fields of a response that could not be used. */
 void catalog_count_unusable_notice(backend_t *backend, unsigned count);
 /* Applies the stored notice to the backend, if there is one. */
 void catalog_apply_notice(const catalog_t *catalog, backend_t *backend);
--- a/gateway/state/catalog_notices.c
+++ b/gateway/state/catalog_notices.c
@@ -1,5 +1,5 @@
 /*
- * Catalog: the statements of backend servers about themselves in their answers.
+ * Catalog: the statements of backend servers about themselves in their responses.
  */
 #include <uv.h>
 
--- a/gateway/state/config.h
+++ b/gateway/state/config.h
@@ -3,7 +3,7 @@
  * requests.
  *
  * Immutable once sealed, and reference-counted, so that a request is decided by one version from
- * its arrival to its answer. Built by the adapter's decoder; the accounts' part is
+ * its arrival to its response. Built by the adapter's decoder; the accounts' part is
  * config_accounts.c. Owns its strings and lists.
  *
  * An account takes 104 bytes, a key 32 bytes and its text (64-bit).
--- a/gateway/state/departures.h
+++ b/gateway/state/departures.h
@@ -3,8 +3,8 @@
  * view.
  *
  * A change of the backend list may hold hundreds of entries, and is forwarded from instance to
- * instance. What must take effect immediately, that a backend server is leaving or gone, is sent
- * directly by the instance that read it from the store to all instances of its region. A departure
+ * instance. That a backend server is leaving or gone must take effect immediately, so the instance
+ * that read it from the store sends it directly to all instances of its region. A departure
  * applies until the view holds a newer entry of that backend server; an older entry received later
  * does not revert it.
  *
--- a/gateway/state/notices.c
+++ b/gateway/state/notices.c
@@ -16,7 +16,7 @@
 };
 
 /* Relative change above which a limit is sent again. A backend server may state another limit
- * in each answer. */
+ * in each response. */
 #define RESEND_THRESHOLD 0.2
 
 typedef struct {
--- a/gateway/state/notices.h
+++ b/gateway/state/notices.h
@@ -1,10 +1,10 @@
 /*
- * Notices: what backend servers state about themselves in their answers, apart from their load: a
+ * Notices: what backend servers state about themselves in their responses, apart from their load: a
  * limit on the request rate, and that they are shutting down.
  *
- * A notice is ordered by the time at which the answered request was sent, so that a late answer to
+ * A notice is ordered by the time at which the request was sent, so that a late response to
  * a long request does not override a newer statement. The shutdown flag is kept for the rest of the
- * incarnation, whatever the store's list says.
+ * incarnation, regardless of the store's list.
  *
  * An entry belongs to one incarnation of a backend server. Notices are kept apart from the list of
  * backends: they survive an outage of the store and a reload of the list, and may arrive before the
@@ -17,7 +17,7 @@
 
 #include "base/str.h"
 
-/* The statements in one answer. Fields that cannot be used count as absent. */
+/* The statements in one response. Fields that cannot be used count as absent. */
 typedef struct {
     bool has_limit;
     double limit_per_s; /* requests a second from all instances together */
--- a/gateway/state/receivers.h
+++ b/gateway/state/receivers.h
@@ -2,8 +2,9 @@
  * Receivers: the instances that get a change of a view, in an order that is the same on all of
  * them.
  *
- * policy/relay.h decides by the ranks in this order who sends to whom. Owns the list; its addresses
- * point into the members and are valid until a member is added. Depends on membership/members.h.
+ * policy/relay.h decides by the ranks in this order which instance sends to which. Owns the list;
+ * its addresses point into the members and are valid until a member is added. Depends on
+ * membership/members.h.
  */
 #pragma once
 
@@ -30,7 +31,7 @@
 } receivers_input_t;
 
 /* Lists the live instances that get the change up to revision `at`. The order is the same on all
- * instances, except where they disagree on who is alive. */
+ * instances, except where they disagree on which members are alive. */
 receivers_t receivers_select(const receivers_input_t *input, uint64_t at);
 /* True if all live instances of the own region accept VIEW_FORMAT_PACKED_LIST. */
 bool receivers_accept_packed_lists(const receivers_input_t *input);
--- a/gateway/state/route_stats.h
+++ b/gateway/state/route_stats.h
@@ -1,5 +1,5 @@
 /*
- * Route statistics: the median latency of a route's answers, and how long its callers still wait.
+ * Route statistics: the median latency of a route's responses, and how long its callers still wait.
  *
  * Owns a hash table of fixed size, indexed by the route's key. On a collision the route used last
  * replaces the other. slow.h and admission.h use the figures.
@@ -16,7 +16,7 @@
     uint64_t route_key; /* config_route_t.key */
     /* Moving average of the time that callers still wait; 0 before the first. */
     double average_left_ms;
-    /* Estimated median latency of complete answers; 0 before the first. */
+    /* Estimated median latency of complete responses; 0 before the first. */
     double median_ms;
 } route_stat_t;
 
@@ -24,7 +24,7 @@
     route_stat_t slots[ROUTE_STATS_SLOTS];
 } route_stats_t;
 
-/* Estimated median latency of the route's answers in milliseconds; 0 before the first. */
+/* Estimated median latency of the route's responses in milliseconds; 0 before the first. */
 double route_stats_median_ms(const route_stats_t *stats, uint64_t route_key);
 void route_stats_count_answer(route_stats_t *stats, uint64_t route_key, double latency_ms);
 /* Counts a caller that still waits for `left_ms`; returns the average in milliseconds. */
--- a/gateway/state/services.c
+++ b/gateway/state/services.c
@@ -10,7 +10,7 @@
     DEMAND_TAU_MS = 2000, /* time constant of the moving average of the demand */
 };
 
-/* Weight of a new answer in the moving average of latencies. */
+/* Weight of a new response in the moving average of latencies. */
 #define LATENCY_GAIN 0.05
 
 /* Index of the first service whose name is not below `name`. */
--- a/gateway/state/services.h
+++ b/gateway/state/services.h
@@ -17,7 +17,7 @@
     uint32_t in_flight; /* attempts for this instance's callers */
     double demand;      /* slots: moving average of in_flight and of refused requests */
     uint64_t demand_ms; /* last update of the average */
-    double latency_ms;  /* moving average over complete answers; 0 before the first */
+    double latency_ms;  /* moving average over complete responses; 0 before the first */
 } service_t;
 
 typedef struct {
@@ -38,7 +38,7 @@
 void service_update_demand(service_t *service, uint64_t now_ms);
 void service_attempt_started(service_t *service, uint64_t now_ms);
 void service_attempt_finished(service_t *service, uint64_t now_ms);
-/* A complete answer came after `latency_ms`. */
+/* A complete response arrived after `latency_ms`. */
 void service_answered(service_t *service, double latency_ms);
 /* A request was not admitted; it still counts towards the demand. */
 void service_refused(service_t *service, uint64_t now_ms);
--- a/gateway/state/suspect.h
+++ b/gateway/state/suspect.h
@@ -58,9 +58,9 @@
 void suspect_set_text(suspect_t *suspect, str_t text);
 /* Adds an end unless it is known or cleared. Replaces the oldest one if the suspect is full. */
 void suspect_add_end(suspect_t *suspect, const suspect_end_t *end);
-/* Marks the ends of that life as confirmed; true if any was not. */
+/* Marks the ends of that incarnation as confirmed; true if any was not. */
 bool suspect_confirm(suspect_t *suspect, uint64_t incarnation);
-/* Removes the unconfirmed ends of that life. */
+/* Removes the unconfirmed ends of that incarnation. */
 void suspect_retract(suspect_t *suspect, uint64_t incarnation);
 /* Discards all ends up to `at_ms`. */
 void suspect_clear(suspect_t *suspect, cleared_t why, uint64_t at_ms);
@@ -70,10 +70,10 @@
 /* Merges another instance's evidence. */
 void suspect_merge(suspect_t *suspect, const suspect_t *theirs);
 
-/* Counts the distinct lives that ended, confirmed or not. 0 for a family if a single member was
- * involved in all of them. */
+/* Counts the distinct incarnations that ended, confirmed or not. 0 for a family if a single member
+ * was involved in all of them. */
 unsigned suspect_ends(const suspect_t *suspect);
-/* Counts the distinct lives that ended, without the exception for families. */
+/* Counts the distinct incarnations that ended, without the exception for families. */
 unsigned suspect_incarnations(const suspect_t *suspect);
 /* Like suspect_ends(), but counts confirmed ends only. */
 unsigned suspect_confirmed_ends(const suspect_t *suspect);
@@ -82,8 +82,8 @@
 bool suspect_ended_version(const suspect_t *suspect, uint64_t version);
 /* Time of the last end, or of the last clearing if there are none. */
 uint64_t suspect_last_ms(const suspect_t *suspect);
-/* True if the other suspect explains the end of that life better. */
+/* True if the other suspect explains the end of that incarnation better. */
 bool suspect_is_explained_by(const suspect_t *suspect, const suspect_t *other,
                              uint64_t incarnation);
-/* True if an earlier entry than the one at `index` has the same life. */
+/* True if an earlier entry than the one at `index` has the same incarnation. */
 bool suspect_is_repeated_incarnation(const suspect_t *suspect, size_t index);
--- a/gateway/state/suspects.h
+++ b/gateway/state/suspects.h
@@ -2,13 +2,13 @@
  * Suspects: the requests during which backend servers have terminated, with the evidence for and
  * against each.
  *
- * The evidence is the set of backend server lives that ended during a request, and the time its
- * last run completed. Instances exchange it. Merging is a set union without the ends before the
+ * The evidence is the set of backend server incarnations that ended during a request, and the time
+ * its last run completed. Instances exchange it. Merging is a set union without the ends before the
  * last completed run, so neither order nor repetition nor origin of the messages matters.
  * policy/quarantine.h decides on the evidence.
  *
- * Evidence is kept per request and per family: all requests with the same path and body, whoever
- * sends them, since a caller may change its address. The ends of a family count only if no single
+ * Evidence is kept per request and per family: all requests with the same path and body, from any
+ * caller, since a caller may change its address. The ends of a family count only if no single
  * member was involved in all of them and no member has completed a run since. Thus a caller whose
  * request merely resembles another's is not quarantined with it, and clears the family with its
  * first run.
@@ -59,13 +59,13 @@
 quarantine_t suspects_decide_version(const suspects_t *suspects, const fingerprint_t *fingerprint,
                                      uint64_t version, uint64_t now_ms);
 
-/* Records that the connection of a run broke: the backend server of that life and software version
- * may have terminated. */
+/* Records that the connection of a run broke: the backend server of that incarnation and software
+ * version may have terminated. */
 void suspects_add_end(suspects_t *suspects, const fingerprint_t *fingerprint, str_t text,
                       uint64_t incarnation, uint64_t version, uint64_t now_ms);
-/* Confirms the ends of that life. Returns the number of requests affected. */
+/* Confirms the ends of that incarnation. Returns the number of requests affected. */
 size_t suspects_confirm(suspects_t *suspects, uint64_t incarnation, uint64_t now_ms);
-/* Retracts the unconfirmed ends of that life: the backend server is alive. */
+/* Retracts the unconfirmed ends of that incarnation: the backend server is alive. */
 void suspects_retract(suspects_t *suspects, uint64_t incarnation);
 /* Records a completed run of the request on that software version. */
 void suspects_add_finished_run(suspects_t *suspects, const fingerprint_t *fingerprint,
--- a/gateway/state/traffic.c
+++ b/gateway/state/traffic.c
@@ -4,7 +4,7 @@
 
 /* Time constant of the averages, in milliseconds. */
 #define AVERAGE_TAU_MS 2000.0
-/* Assumed size of the headers of a request and its answer. */
+/* Assumed size of the headers of a request and its response. */
 enum { HEADER_BYTES = 600 };
 #define MS_PER_S 1000.0
 
--- a/gateway/state/traffic.h
+++ b/gateway/state/traffic.h
@@ -14,11 +14,11 @@
     uint64_t bytes;
     uint64_t updated_ms;
     double requests_per_s;
-    double
-        bytes_per_s; /* in one direction; each request and answer is received once and sent once */
+    double bytes_per_s; /* in one direction; each request and response is received once and sent
+                           once */
 } traffic_t;
 
-/* Counts a completed request; `bytes` are those of its body and the answer's. */
+/* Counts a completed request; `bytes` are those of its body and the response's. */
 void traffic_count(traffic_t *traffic, size_t bytes);
 /* Updates the averages. */
 void traffic_update(traffic_t *traffic, uint64_t now_ms);
--- a/gateway/state/view_push.h
+++ b/gateway/state/view_push.h
@@ -2,13 +2,13 @@
  * View push: sends changes of the views to other instances unsolicited.
  *
  * Changes read from the store are sent to all instances, or only to those of the own region if the
- * fleet or the change is large; each region has its own watchers. policy/relay.h decides who sends
- * to whom and how often. An object that changed several times is sent once, in its current state. A
- * change may start from an earlier base revision if that does not make it larger, so that a peer
- * that missed changes can still apply it. A peer whose connection is backed up is skipped
- * (peer_try_send()); it receives a later change or requests what it lacks (view_relay.h). For a
- * large change of the backend list, the departing backend servers are sent ahead, directly to all
- * receivers (departures.h).
+ * fleet or the change is large; each region has its own watchers. policy/relay.h decides which
+ * instance sends to which and how often. An object that changed several times is sent once, in its
+ * current state. A change may start from an earlier base revision if that does not make it larger,
+ * so that a peer that missed changes can still apply it. A peer whose connection is backed up is
+ * skipped (peer_try_send()); it receives a later change or requests the missing changes
+ * (view_relay.h). For a large change of the backend list, the departing backend servers are sent
+ * ahead, directly to all receivers (departures.h).
  *
  * Owns the pending changes and the rate limit. Depends on views.h for the objects, on
  * membership/members.h for the peers and on peer/link.h for the connections.
--- a/gateway/state/view_relay.c
+++ b/gateway/state/view_relay.c
@@ -13,8 +13,8 @@
 
 enum {
     REQUEST_INTERVAL_MS = 600, /* minimum interval between requests for a view */
-    /* A starting instance first asks peers of its own region, as whole views are large. Exceeds the
-     * time in which those peers are discovered. */
+    /* A starting instance first requests views from peers of its own region, as whole views are
+     * large. Exceeds the time in which those peers are discovered. */
     START_OWN_REGION_MS = 600,
     START_REQUEST_INTERVAL_MS = 200, /* until the view is known */
     /* A peer that can read the store gets no whole view above this size. */
--- a/gateway/state/view_relay.h
+++ b/gateway/state/view_relay.h
@@ -5,7 +5,7 @@
  * and digest of each view. An instance that remains behind a peer requests the missing changes
  * (policy/relay.h decides when) and receives each object changed since, in its current state.
  * Answers are rate-limited in bytes, so that many requests at once do not saturate the link; a peer
- * that gets no answer asks another one.
+ * that gets no answer sends the request to another one.
  *
  * Owns the rate limits of requests and answers. Depends on views.h for the views, on store_watch.h
  * for the state of the store, on membership/members.h for the peers and on peer/link.h for the
--- a/test/gateway/test_accounts.c
+++ b/test/gateway/test_accounts.c
@@ -182,7 +182,7 @@
     site_t *site = start_site(ACCOUNTS_JSON);
     site->accounts = ACCOUNTS_SHARED_KEY;
     put_config(site, "/new/");
-    /* The configuration is not applied; requests that it might accept are told to retry. */
+    /* The configuration is not applied; requests that it might accept get a Retry-After. */
     RUN_UNTIL(site, request_with_fields(site, "/new/x", "Credential: k-acme-1\r\n").status == 503);
     ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k-acme-1\r\n").status, 200);
     ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k-new\r\n").status, 503);
--- a/test/gateway/test_final_response.c
+++ b/test/gateway/test_final_response.c
@@ -1,4 +1,4 @@
-/* Responses made by the gateway: deadline, slow attempts, final answer. */
+/* Responses made by the gateway: deadline, slow attempts, final response. */
 #include "base/xmalloc.h"
 #include "gateway/policy/deadline.h"
 #include "gateway/policy/final_response.h"
--- a/test/gateway/test_view_relay.c
+++ b/test/gateway/test_view_relay.c
@@ -44,7 +44,7 @@
     size_t departures_received; /* departing backend servers received ahead of a change */
     bool announced;             /* claims to have an entry in the store */
     uint64_t restarts;          /* added to the incarnation */
-    bool heard_announced;       /* was told that it announced itself in an earlier incarnation */
+    bool heard_announced;       /* a peer reported its announcement in an earlier incarnation */
     size_t addresses_received;  /* instance addresses received */
 } peer_t;
 
