--- a/gateway/path/exchange.c
+++ b/gateway/path/exchange.c
@@ -92,7 +92,7 @@
         may_have_account ? config_account_of_key(config, ex->metadata.key) : NULL;
     const key_input_t input = {
         .has_accounts = config->has_accounts,
-        .open_to_all = ex->route->allows_anonymous,
+        .allows_anonymous = ex->route->allows_anonymous,
         .form = ex->metadata.key_form,
         .key = ex->metadata.key,
         .is_known = account != NULL,
@@ -138,7 +138,7 @@
     ex->route = config_route(ex->config, wire_head_find(&req->head, STR("host")),
                              wire_head_path(&req->head));
     if (ex->route == NULL || ex->route->target_count == 0) {
-        completion_refuse(ex, final_answer_no_route(catalog_is_behind(&router->catalog)));
+        completion_refuse(ex, final_response_no_route(catalog_is_behind(&router->catalog)));
         return;
     }
     if (!authenticate_account(ex) || !admit_account_use(ex))
--- a/test/gateway/test_accounts.c
+++ b/test/gateway/test_accounts.c
@@ -182,7 +182,7 @@
     site_t *site = start_site(ACCOUNTS_JSON);
     site->accounts = ACCOUNTS_SHARED_KEY;
     put_config(site, "/new/");
-    /* The configuration is not applied; requests that it might accept are told to retry. */
+    /* The configuration is not applied; requests that it might accept get a Retry-After. */
     RUN_UNTIL(site, request_with_fields(site, "/new/x", "Credential: k-acme-1\r\n").status == 503);
     ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k-acme-1\r\n").status, 200);
     ck_assert_int_eq(request_with_fields(site, "/safe/x", "Credential: k-new\r\n").status, 503);
@@ -321,8 +321,8 @@
         key_verdict_t verdict;
     } rows[] = {
         {{.has_accounts = false, .form = KEY_MULTIPLE}, KEY_NOT_NEEDED},
-        {{.has_accounts = true, .open_to_all = true}, KEY_NOT_NEEDED},
-        {{.has_accounts = true, .open_to_all = true, .form = KEY_SINGLE, .is_known = true},
+        {{.has_accounts = true, .allows_anonymous = true}, KEY_NOT_NEEDED},
+        {{.has_accounts = true, .allows_anonymous = true, .form = KEY_SINGLE, .is_known = true},
          KEY_KNOWN},
         {{.has_accounts = true, .form = KEY_NONE}, KEY_ABSENT},
         {{.has_accounts = true, .form = KEY_NONE, .newer_known = true}, KEY_CONFIGURATION_STALE},
@@ -337,16 +337,16 @@
 
 START_TEST(retry_after_is_spread_over_callers)
 {
-    account_limiter_t gate = {0};
-    account_limiter_set_share(&gate, true, 2, 1000);
+    account_limiter_t limiter = {0};
+    account_limiter_set_share(&limiter, true, 2, 1000);
     const account_limiter_input_t input = {.owner_reachable = true, .now_ms = 1000};
-    ck_assert(!account_limiter_admit(&gate, &input));
-    const uint32_t min_ms = account_limiter_retry_after_ms(&gate, 0);
-    const uint32_t max_ms = account_limiter_retry_after_ms(&gate, 0.99);
+    ck_assert(!account_limiter_admit(&limiter, &input));
+    const uint32_t min_ms = account_limiter_retry_after_ms(&limiter, 0);
+    const uint32_t max_ms = account_limiter_retry_after_ms(&limiter, 0.99);
     ck_assert_uint_eq(min_ms, 500); /* one token at two a second */
     ck_assert_uint_ge(max_ms, 990);
     const account_limiter_input_t later = {.owner_reachable = true, .now_ms = 1000 + min_ms};
-    ck_assert(account_limiter_admit(&gate, &later));
+    ck_assert(account_limiter_admit(&limiter, &later));
 }
 END_TEST
 
